--- a/internal/gatewaynode/batch/checkpoint_test.go
+++ b/internal/gatewaynode/batch/checkpoint_test.go
@@ -11,8 +11,8 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore/rowstoretest"
 )
 
-// checkpointed returns a job of items that have made so many events each, run by a
-// runner over a store that takes few rows at once.
+// checkpointed returns a runner and an open job whose items have the given numbers of
+// events. The store limits transactions to a few rows.
 func checkpointed(rows *rowstoretest.Store, made ...int) (*runner, *ownedJob) {
 	m := &Manager{config: Config{Store: rows, Limits: rowstore.Limits{RowBytes: 1 << 10, TransactionRows: 4}, Routes: func() *routetable.Table { return nil }}}
 	r := newRunner(m)
@@ -28,14 +28,14 @@
 	return r, job
 }
 
-func TestCheckpointStoresWhatCostsMostFirst(t *testing.T) {
+func TestCheckpointOrdersByUnsavedEvents(t *testing.T) {
 	r, job := checkpointed(rowstoretest.New(), 1, 9, 3, 0, 7)
 	var order []int
 	for _, part := range r.newText(job, 0) {
 		order = append(order, part.item)
 	}
 	if want := []int{1, 4, 2}; !slices.Equal(order, want) {
-		t.Errorf("items %v, want %v", order, want)
+		t.Errorf("segments of items %v, want %v", order, want)
 	}
 }
 
@@ -45,11 +45,11 @@
 	r.storeAll(context.Background(), job, r.newText(job, 0))
 	for i := range job.items {
 		if item := &job.items[i]; item.saved != len(item.text.events) {
-			t.Errorf("item %d: %d of %d events are stored", i, item.saved, len(item.text.events))
+			t.Errorf("item %d: %d of %d events stored", i, item.saved, len(item.text.events))
 		}
 	}
 	stored := decodePartials(rows.Rows(TablePartials))
 	if len(stored) != 7 || len(stored[1].events) != 9 {
-		t.Errorf("texts of %d items read again", len(stored))
+		t.Errorf("decoded output of %d items, %d events of item 1; want 7 items, 9 events", len(stored), len(stored[1].events))
 	}
 }
--- a/internal/gatewaynode/batch/ownerkey_test.go
+++ b/internal/gatewaynode/batch/ownerkey_test.go
@@ -18,14 +18,14 @@
 		backends, slots int
 		want            int
 	}{
-		{"none known", 0, 0, 1},
-		{"small", 9, 16, 1},
-		{"two owners, by model", 60, 16, 2},
-		{"more owners than models, by job", 1600, 16, 43},
+		{"no backends", 0, 0, 1},
+		{"one owner", 9, 16, 1},
+		{"owners by model", 60, 16, 2},
+		{"owners by job", 1600, 16, 43},
 	} {
 		models := min(2, test.backends)
 		if got := keys(test.backends*test.slots, models); got != test.want {
-			t.Errorf("%s: %d keys, want %d", test.name, got, test.want)
+			t.Errorf("%s: %d owner keys, want %d", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/gatewaynode/batch/results_test.go
+++ b/internal/gatewaynode/batch/results_test.go
@@ -10,9 +10,9 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// TestReadsWaitForTheRest: a read that a part of the finished results would answer
-// waits for the commit that follows, yet not for long.
-func TestReadsWaitForTheRest(t *testing.T) {
+// TestAwaitMore checks that a read waits for a commit announced by Head.More,
+// but no longer than its limit.
+func TestAwaitMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &Manager{jobs: make(map[string]*jobState)}
 		began := time.Now()
@@ -23,26 +23,26 @@
 		}
 		m.adopt("j", Head{Count: 3}, 1)
 		if got := wait(moreMost); got != 0 {
-			t.Errorf("waited %s though nothing follows", got)
+			t.Errorf("waited %s without an announced commit, want 0", got)
 		}
 		m.adopt("j", Head{Count: 4, More: true}, 2)
 		if got := wait(moreMost); got != moreMost {
-			t.Errorf("waited %s for an owner that is gone, want %s", got, moreMost)
+			t.Errorf("waited %s for a commit that does not follow, want %s", got, moreMost)
 		}
 		if got := wait(0); got != 0 {
-			t.Errorf("waited %s though the caller does not", got)
+			t.Errorf("waited %s with a limit of 0, want 0", got)
 		}
 		time.AfterFunc(40*time.Millisecond, func() { m.adopt("j", Head{Count: 9}, 3) })
 		if got := wait(moreMost); got != 40*time.Millisecond {
-			t.Errorf("waited %s, want until the commit", got)
+			t.Errorf("waited %s, want 40ms, the time of the commit", got)
 		}
 		if time.Since(began) > time.Second {
-			t.Error("the test itself took long")
+			t.Errorf("test took %s, want at most 1s", time.Since(began))
 		}
 	})
 }
 
-func TestResultsLongerThanARow(t *testing.T) {
+func TestResultSplitAcrossRows(t *testing.T) {
 	const most = 64
 	long := Result{ID: "b", State: Completed, Text: strings.Repeat("text", 200)}
 	short := Result{ID: "a", State: Dead}
@@ -52,16 +52,16 @@
 	}
 	for i, row := range rows {
 		if len(row.Value) > most {
-			t.Fatalf("row %d has %d bytes", i, len(row.Value))
+			t.Fatalf("row %d has %d bytes, want at most %d", i, len(row.Value), most)
 		}
 	}
 	keys := func(a, b rowstore.Row) int { return strings.Compare(a.Key, b.Key) }
 	if !slices.IsSortedFunc(rows, keys) {
-		t.Fatal("parts of a result do not stand before the next result")
+		t.Fatal("rows are not sorted by key")
 	}
 	whole, err := decodeResults(rows, 7)
 	if err != nil || len(whole) != 3 || whole[1].Text != long.Text {
-		t.Fatalf("%d results, %v", len(whole), err)
+		t.Fatalf("decodeResults returned %d results, error %v; want 3 unchanged results", len(whole), err)
 	}
 	for cut := range rows {
 		found, err := decodeResults(rows[:cut], 7)
@@ -70,10 +70,10 @@
 			cut == 1 && (len(found) != 1 || err != nil),
 			cut > 1 && cut < len(rows)-1 && (len(found) != 1 || err == nil),
 			cut == len(rows)-1 && (len(found) != 2 || err != nil):
-			t.Errorf("cut behind %d rows: %d results, %v", cut, len(found), err)
+			t.Errorf("first %d rows: decodeResults returned %d results, error %v", cut, len(found), err)
 		}
 	}
 	if _, err := decodeResults(slices.Delete(slices.Clone(rows), 3, 4), 7); err == nil {
-		t.Error("a missing part was not seen")
+		t.Error("decodeResults accepted rows with a missing part")
 	}
 }
