--- a/internal/gatewaynode/batch/checkpoint.go
+++ b/internal/gatewaynode/batch/checkpoint.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// checkpointEvery is how often texts of unfinished items are stored.
+	// checkpointEvery is the interval at which the output of unfinished items is stored.
 	checkpointEvery = 500 * time.Millisecond
-	// checkpointAge is how long an item must have run: a shorter text is made anew
-	// in the time that a take-over needs.
+	// checkpointAge is the minimum age of an item's first run. Shorter output is
+	// generated again in the time that a takeover needs.
 	checkpointAge = 500 * time.Millisecond
 )
 
-// stretch is text of an item that is to be stored.
+// stretch is a segment of an item's output that is to be stored: the events from to
+// upTo of a line. whole is set if the output ends with it.
 type stretch struct {
 	item, from, upTo int
 	line             int
@@ -29,7 +30,8 @@
 	row              rowstore.Row
 }
 
-// checkpoint stores new text of all owned jobs, one write a job at a time.
+// checkpoint starts storing the new output of all open jobs, except for those whose
+// previous checkpoint is still being written.
 func (r *runner) checkpoint(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,7 +48,8 @@
 	}
 }
 
-// storeAll stores stretches, and then what did not fit the transaction with them.
+// storeAll stores segments. If they filled a transaction, it goes on with the rest of the
+// unsaved output until all is stored or a write fails.
 func (r *runner) storeAll(ctx context.Context, job *ownedJob, stretches []stretch) {
 	for len(stretches) > 0 && r.storeText(ctx, job, stretches) {
 		full := len(stretches) >= r.manager.config.Limits.TransactionRows-1
@@ -62,9 +65,9 @@
 	r.mu.Unlock()
 }
 
-// newText returns the text that is not stored yet of items that have run for an
-// age, as much as fits one transaction, what would cost most to make again first.
-// The lock is held.
+// newText returns unsaved segments of items whose first run started at least age ago, as
+// many as fit into one transaction. Items with the most unsaved events come first. The
+// lock is held.
 func (r *runner) newText(job *ownedJob, age time.Duration) []stretch {
 	limits := r.manager.config.Limits
 	var stretches []stretch
@@ -87,9 +90,9 @@
 	return stretches
 }
 
-// unsaved tells whether there is something to store of an item that has run for
-// an age. A whole text that waits for its score is stored at any age: the call
-// may take long, and the text need not be made again.
+// unsaved reports whether the item has output to store. Output of items whose first run
+// started less than age ago is left out, unless it is complete: the scoring call may take
+// long, and complete output must not be generated again.
 func (i *itemState) unsaved(age time.Duration) bool {
 	switch {
 	case i.phase == phaseFinished:
@@ -101,8 +104,8 @@
 	}
 }
 
-// unsaved returns the items of which there is something to store, by the events
-// that are not stored, most first.
+// unsaved returns the indices of the items with output to store, those with the most
+// unsaved events first.
 func (j *ownedJob) unsaved(age time.Duration) []int {
 	var found []int
 	for i := range j.items {
@@ -115,7 +118,8 @@
 	return found
 }
 
-// storeText writes stretches; losing one costs time only, so it is tried once.
+// storeText writes segments and reports whether it succeeded. It makes only one attempt,
+// since a lost checkpoint costs no more than generating the output again.
 func (r *runner) storeText(ctx context.Context, job *ownedJob, stretches []stretch) bool {
 	var transaction rowstore.Transaction
 	for _, part := range stretches {
@@ -135,11 +139,12 @@
 	return true
 }
 
-// decodePartials returns the longest stored text of each item, by index.
+// decodePartials joins the stored segments of each line and returns the longest output of
+// each item, by item index.
 func decodePartials(rows []rowstore.Row) map[int]text {
 	lines := make(map[string]text)
 	for _, row := range rows {
-		// Rows of a line come in the order of their first event.
+		// Rows of a line are ordered by their first event.
 		_, rest := splitKey(row.Key)
 		parts := strings.Split(rest, "/")
 		if len(parts) != 3 {
--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// groupCommit is how long results are gathered before they are committed.
+	// groupCommit is how long results are collected before a commit.
 	groupCommit = 30 * time.Millisecond
-	// holdMost is how long results are held back for the rest of what their caller
-	// waits for, and holdTail, while little of that is missing.
+	// holdMost is the maximum time for which results are held back while the caller
+	// waits for more groups, and holdTail the maximum while few groups are missing.
 	holdMost clock.Millis = 400
 	holdTail clock.Millis = 2000
-	// holdSlack is added to the time at which the last item should end at the latest.
+	// holdSlack is added to the latest expected end of the last item.
 	holdSlack clock.Millis = 200
-	// holdEnd is how long results wait for the end of all items at most: what was held
-	// back for holdMost when that end came within holdTail, and some delay besides.
+	// holdEnd is the maximum time for which results are held back until all items have
+	// ended. It covers results that were already held for holdMost when that end came
+	// within holdTail, plus some delay.
 	holdEnd = holdTail + 2*holdMost + holdSlack
-	// readEvery is within which time a caller that was answered reads again: half a
-	// second, and what the read and a commit take.
+	// readEvery is the time within which a caller that got an answer reads again: half
+	// a second plus the duration of the read and of a commit.
 	readEvery clock.Millis = 650
-	// dueGrace is by how much a result may be late and still count as read in time by
-	// its caller, as the users' rules have it.
+	// dueGrace is how late a result may be read and still count as in time for its
+	// caller.
 	dueGrace clock.Millis = 700
-	// holdBytes is how much text is held back at most: half of what one read brings.
+	// holdBytes is the maximum size of the results that are held back: half a page.
 	holdBytes = pageBytes / 2
-	// commitRetryFirst and commitRetryMost bound the pause after a commit that
-	// failed.
+	// commitRetryFirst is the pause after the first failed attempt of a commit. It
+	// doubles with each further one up to commitRetryMost.
 	commitRetryFirst = 50 * time.Millisecond
 	commitRetryMost  = 300 * time.Millisecond
 )
@@ -56,7 +57,7 @@
 	}
 }
 
-// holdBack waits while what is finished may be held back, see holdLeft.
+// holdBack waits until the finished results have to be committed; see holdLeft.
 func (r *runner) holdBack(job *ownedJob) {
 	for {
 		r.mu.Lock()
@@ -75,15 +76,17 @@
 	}
 }
 
-// holdLeft returns for how much longer the results that are not committed yet may
-// be held back. A caller that waits for a number of whole groups reads about twice
-// a second. A read that finds nothing new is held until there is, and brings the
-// result that makes the step whole at once; one that is answered with results of no
-// use sends the caller away for half a second. And each commit wakes every node.
-// So results wait for the group that makes the step whole, for holdMost, or for
-// holdTail while little is missing, but not beyond the time at which they are due.
-// Once even the longest item will end within holdTail, they wait for that end, see
-// holdToEnd.
+// holdLeft returns for how much longer the uncommitted results may be held back.
+//
+// A caller that waits for a number of complete groups reads about twice a second. A read
+// without new results stays pending and returns the next commit at once, whereas a read
+// that returns too few results delays the caller's next one by half a second. Besides,
+// each commit wakes every node. Results are therefore held until the groups that the
+// caller waits for are complete, for at most holdMost, or holdTail if few are missing,
+// and not beyond their due time. Once all items are expected to end within holdTail,
+// holdToEnd applies.
+//
+// The runner's lock is held.
 func (j *ownedJob) holdLeft(route *routetable.Route, known *lengths, now time.Time) clock.Millis {
 	if len(j.finished) == 0 || j.left == 0 || j.ctx.Err() != nil || j.groups.reached() {
 		return 0
@@ -102,10 +105,10 @@
 	return min(left, j.finished[0].at+most-clock.At(now))
 }
 
-// holdToEnd returns for how much longer results are held back that all items will
-// have joined by end. A commit shortly before that would send the caller away just
-// then; where one read could not bring all, what there is goes while the caller has
-// the time to come back.
+// holdToEnd returns for how much longer results are held back if all items will end
+// within end. A commit shortly before that would answer the caller's read too early and
+// delay the next one. If all results do not fit into one page, the present ones are
+// committed at once while the caller has time for another read before end.
 func (j *ownedJob) holdToEnd(end clock.Millis, now time.Time) clock.Millis {
 	held := j.heldBytes()
 	if held > pageBytes || end > readEvery && held+j.runningBytes() > pageBytes {
@@ -114,8 +117,9 @@
 	return min(end+holdSlack, j.finished[0].at+holdEnd-clock.At(now))
 }
 
-// dueLeft returns how long it is until results are due. Once they are so late that
-// no result earns more for being read early, they may be held back again.
+// dueLeft returns the time until the results are due. It returns holdEnd if there is no
+// due time, or if it has passed by more than dueGrace, when an early commit is of no more
+// use.
 func (j *ownedJob) dueLeft(route *routetable.Route, now time.Time) clock.Millis {
 	if route == nil || route.ResultDue == 0 {
 		return holdEnd
@@ -127,7 +131,7 @@
 	return left
 }
 
-// runningBytes returns how much text the items that are not finished have so far.
+// runningBytes returns the size of the output of all unfinished items.
 func (j *ownedJob) runningBytes() int {
 	size := 0
 	for i := range j.items {
@@ -138,9 +142,9 @@
 	return size
 }
 
-// endWithin returns within which time all items will have ended, and whether that is
-// known: all run, and how long they can be at most has been seen. The runner's lock
-// is held.
+// endWithin returns the time within which all items will have ended, and whether it is
+// known. It is known only if all items with incomplete output are running and none is
+// longer than the longest one seen of the model. The runner's lock is held.
 func (j *ownedJob) endWithin(known *lengths) (clock.Millis, bool) {
 	most, running := time.Duration(0), false
 	for i := range j.items {
@@ -157,7 +161,7 @@
 	return clock.Of(most), running
 }
 
-// heldBytes returns how much text is not committed yet.
+// heldBytes returns the size of the texts of all uncommitted results.
 func (j *ownedJob) heldBytes() int {
 	size := 0
 	for i := range j.finished {
@@ -166,7 +170,7 @@
 	return size
 }
 
-// flush commits what is finished; it is called once no run is left.
+// flush commits all finished results of a job. It is called after suspend.
 func (r *runner) flush(ctx context.Context, id string) {
 	r.mu.Lock()
 	job := r.jobs[id]
@@ -176,8 +180,8 @@
 	}
 }
 
-// gather waits a moment for further results, unless what the caller waits for is
-// there.
+// gather waits for further results to join the commit, unless the groups that the caller
+// waits for are complete.
 func (r *runner) gather(job *ownedJob) {
 	r.mu.Lock()
 	reached := job.groups.wanted > 0 && job.groups.reached()
@@ -187,13 +191,13 @@
 	}
 }
 
-// commitFinished commits all finished items, until ctx ends.
+// commitFinished commits all finished results, retrying until ctx is done.
 func (r *runner) commitFinished(ctx context.Context, job *ownedJob) {
 	for r.commitOnce(ctx, job) == commitDone {
 	}
 }
 
-// commitOnce makes one commit, once no other is under way.
+// commitOnce makes one commit after any commit in progress has ended.
 func (r *runner) commitOnce(ctx context.Context, job *ownedJob) commitOutcome {
 	select {
 	case job.committing <- struct{}{}:
@@ -207,17 +211,19 @@
 	return r.commit(ctx, job)
 }
 
-// proposal is what a commit would write: the results that go into it, the head
-// behind them, and the transaction.
+// proposal is the content of a commit.
 type proposal struct {
-	results     int
-	head        Head
+	// results is the number of results in the transaction.
+	results int
+	// head is the head that the transaction writes.
+	head Head
+	// failures is the value of ownedJob.failures that the head covers.
 	failures    int
 	transaction rowstore.Transaction
 }
 
-// propose returns the next commit, whose transaction is empty if there is nothing
-// that the store does not hold.
+// propose returns the next commit. Its transaction is empty if there is nothing to
+// commit.
 func (r *runner) propose(job *ownedJob) proposal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,7 +237,7 @@
 	for i := range job.finished {
 		value := job.finished[i].encoded()
 		rows := resultRows(job.id, p.head.Count, value, limits.RowBytes)
-		// One entry is the head's.
+		// One more entry is needed for the head.
 		full := size+len(value) > transactionMost || p.transaction.Entries()+len(rows)+1 > limits.TransactionRows
 		if p.results > 0 && full {
 			break
@@ -247,8 +253,8 @@
 	return p
 }
 
-// failures returns the failed runs and calls of scoring services of unfinished
-// items, by index. The runner's lock is held.
+// failures returns the numbers of failed runs and of failed scoring calls of unfinished
+// items, by item index. The runner's lock is held.
 func failures(job *ownedJob) (runs, scores map[int]int) {
 	runs, scores = make(map[int]int), make(map[int]int)
 	for i := range job.items {
@@ -266,22 +272,22 @@
 	return runs, scores
 }
 
-// commitOutcome is how a commit ended.
+// commitOutcome is the outcome of a commit.
 type commitOutcome int
 
 const (
-	// commitNothing: there was nothing to commit.
+	// commitNothing means that there was nothing to commit.
 	commitNothing commitOutcome = iota
-	// commitDone: it is certain what the store holds.
+	// commitDone means that the content of the store is certain.
 	commitDone
-	// commitLost: the job is no longer this node's, or the time is up.
+	// commitLost means that another node owns the job or the context is done.
 	commitLost
 )
 
-// commit writes what is finished until the outcome is certain. Each attempt holds
-// all that is finished by then: results keep their order, so that a longer commit
-// under the same condition holds all of a shorter one, and whichever took effect,
-// the head's count tells how much is stored.
+// commit writes finished results until the outcome is certain. Each attempt includes the
+// results that finished since the previous one. Results keep their order, so that a later
+// attempt under the same condition extends an earlier one, and the head's count tells
+// which of them took effect.
 func (r *runner) commit(ctx context.Context, job *ownedJob) commitOutcome {
 	retry := commitRetryFirst
 	started := time.Now()
@@ -301,7 +307,8 @@
 			r.noteSettled(job, attempt, started)
 			return r.settleConflict(job, conflict)
 		}
-		// A job that is closed meanwhile has all its results listed, or another owner.
+		// If the job was closed in the meantime, all its results are committed or it has
+		// another owner, and the failure needs no warning.
 		if attempt == 1 && ctx.Err() == nil {
 			r.manager.config.Log.Warn(eventlog.CommitUncertain, eventlog.Fields{
 				eventlog.Job: job.id, eventlog.Epoch: p.head.Epoch, eventlog.Count: p.results,
@@ -315,8 +322,8 @@
 	}
 }
 
-// noteSettled says how long it took to be certain of a commit, if it was not at
-// once.
+// noteSettled logs the time until the outcome of a commit was certain, if that took more
+// than one attempt.
 func (r *runner) noteSettled(job *ownedJob, attempts int, started time.Time) {
 	if attempts > 1 {
 		r.manager.config.Log.Info(eventlog.CommitSettled, eventlog.Fields{
@@ -325,13 +332,15 @@
 	}
 }
 
-// settleConflict tells from the head as it is whether an earlier attempt took
-// effect: in its epoch the owner alone writes the head.
+// settleConflict determines from the stored head whether an earlier attempt took effect.
+// A newer head of the same epoch proves it, since only the owner writes heads in its
+// epoch.
 func (r *runner) settleConflict(job *ownedJob, conflict *rowstore.ConflictError) commitOutcome {
 	r.manager.adoptRows(conflict.Rows)
 	state, found := r.manager.snapshot(job.id)
 	if found && state.head.Epoch == job.head.Epoch && state.headRevision > job.revision {
-		// Failures may have been counted since: they are written once more.
+		// The stored head may lack the latest failures: keep failuresStored, so that the
+		// next commit writes them.
 		r.committedAs(job, state.head, state.headRevision, job.failuresStored)
 		return commitDone
 	}
@@ -342,8 +351,7 @@
 	return commitLost
 }
 
-// committedAs takes note that the store holds a head, and the results up to its
-// count.
+// committedAs records that the store holds a head and all results up to its count.
 func (r *runner) committedAs(job *ownedJob, head Head, revision int64, failuresStored int) {
 	r.mu.Lock()
 	added := head.Count - job.head.Count
@@ -365,11 +373,13 @@
 // finishedItem is a result that is not committed yet.
 type finishedItem struct {
 	result Result
-	value  []byte
-	at     clock.Millis
+	// value is the encoding of result, nil until encoded is called.
+	value []byte
+	// at is when the item finished.
+	at clock.Millis
 }
 
-// encoded returns the result's encoding, made once.
+// encoded returns the encoding of the result, which is computed only once.
 func (f *finishedItem) encoded() []byte {
 	if f.value == nil {
 		f.value = encode(f.result)
--- a/internal/gatewaynode/batch/doc.go
+++ b/internal/gatewaynode/batch/doc.go
@@ -1,54 +1,63 @@
-// Package batch keeps batch jobs: many items submitted together, run later, and
-// listed as results at fixed positions that every node can read.
+// Package batch runs jobs: sets of items that are submitted together, executed
+// asynchronously, and returned as a list of results with fixed positions that can
+// be read from any node.
 //
-// State. A job's rows lie in one partition of the row store, so that one
-// transaction can touch several of them:
+// # Storage
+//
+// All rows of a job are in one partition of the row store, so that a transaction
+// can cover several of them:
 //
 //	jobs/ID/head          owner, epoch, number of results; written by the owner
-//	jobs/ID/end           exists once the job was ended
-//	specs/ID/NONCE/I      the specification, in parts
-//	results/ID/POSITION   one result, its further parts under POSITION/PART
+//	jobs/ID/end           present once a caller has ended the job
+//	specs/ID/NONCE/I      part I of the specification
+//	results/ID/POSITION   one result; further parts are under POSITION/PART
 //	partials/ID/ITEM/LINE/FROM
-//	                      events of an unfinished item, from an event on; the
-//	                      last row of a line says whether the text is whole
+//	                      a segment of an unfinished item's output, starting at
+//	                      event FROM; the last segment tells whether the output
+//	                      is complete
+//
+// # Invariants
 //
-// Invariants.
+//   - The head is created on the condition that neither head nor end exists, so
+//     repeated submissions of a job create it once.
 //
-//   - The head is created on the condition that neither head nor end exist, so a
-//     job that is submitted again is taken once.
+//   - Every commit of the owner is conditional on the head's revision and rewrites
+//     the head. A commit with an unknown outcome is repeated under the same
+//     condition: either the repetition succeeds and the first attempt can no longer
+//     take effect, or the conflict returns the head that the first attempt wrote.
 //
-//   - Everything the owner writes is conditional on the head's revision and
-//     changes the head. A commit whose outcome is unknown is sent again under the
-//     same condition: either it succeeds, and the first can never take effect, or
-//     the conflict shows the head that the first one wrote.
+//   - A result is returned to callers only after it was committed, and its row
+//     never changes.
 //
-//   - A result is served only once it is committed, and its row never changes.
+//   - A node takes over a job whose owner is gone by writing the head with the next
+//     epoch on the condition of its revision. Only one of several nodes succeeds,
+//     and later commits of the old owner fail.
 //
-//   - A job whose owner is gone is taken over by writing the head with the next
-//     epoch on the condition of its revision: of several nodes one succeeds, and
-//     the old owner's later commits fail.
+//   - The output of unfinished items is checkpointed, so that the next owner can
+//     resume it. LINE identifies output that one owner generated without starting
+//     over. Only segments of one line are joined, so that the outputs of two owners
+//     are never mixed.
 //
-//   - Text of an unfinished item is stored now and then, so that the next owner
-//     goes on behind it. A line is text that one owner made without a break; only
-//     rows of one line are put together, so that two owners' texts never mix.
+//   - An item with a scorer is listed as completed only with the score that its
+//     scoring service returned for the complete output. Text, versions and score
+//     are stored in one row. Output that waits for its score is checkpointed and
+//     not generated again.
 //
-//   - An item with a scorer is listed as completed only with the score that a
-//     call to its scoring service returned, made after the text was whole. Text,
-//     versions and score are one row. A text that waits for its score is stored
-//     like that of an unfinished item, and is not made again.
+//   - A job is confined to the regions that the configuration in force allows for
+//     its route and its tenant: only nodes in these regions own it or store its
+//     specification and its output. If there is no such node, submissions are
+//     refused and accepted jobs wait.
 //
-//   - A job lives in the regions that its route and its tenant allow by the configuration
-//     in force: no node elsewhere owns it, takes it over or is handed it, and none keeps
-//     its specification or texts. Without a node there a submission is refused, and a job
-//     that was accepted waits.
+//   - A job belongs to the tenant named in its head. Callers of other tenants get
+//     the answer for a job that does not exist. The items run for that tenant
+//     whatever their headers say.
 //
-//   - A job belongs to the tenant that its head names. For the callers of other tenants it
-//     is not there, and its items run for that tenant whatever they say themselves.
+// # Owner
 //
-// Owner. The node that accepts a job assigns it to the node that is first for
-// the job's service by rendezvous hashing (see ownerKey), so that one node knows
-// all work of a service: it keeps connections, balances, and continues texts of
-// items that come again in a later job.
+// The node that accepts a job assigns it by rendezvous hashing over the job's
+// owner key (see ownerKey). One node thus sees all jobs of a service, which lets it
+// reuse connections, balance load, and resume the output of items that are
+// submitted again in a later job.
 package batch
 
 import (
@@ -60,7 +69,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// Tables of the row store.
+// Tables of the row store that hold jobs.
 const (
 	TableJobs     = "jobs"
 	TableSpecs    = "specs"
@@ -75,18 +84,19 @@
 	Header map[string]string `json:"header"`
 	Body   []byte            `json:"body"`
 	Group  string            `json:"group,omitempty"`
-	// Tokens is the prompt plus the most that may come out; LengthHint is a guess
-	// at what will come out, 0 if there is none.
+	// Tokens is the size of the prompt plus the output limit.
 	Tokens int `json:"tokens"`
-	// PromptTokens is the size of the prompt, 0 if it is not known.
+	// PromptTokens is the size of the prompt, 0 if unknown.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
-	LengthHint   int `json:"length_hint,omitempty"`
-	// Scorer is the call that scores the item's text, nil if it has no score.
+	// LengthHint is the caller's estimate of the output length in tokens, 0 if there
+	// is none.
+	LengthHint int `json:"length_hint,omitempty"`
+	// Scorer is the request that scores the item's output, nil if it is not scored.
 	Scorer *Scorer `json:"scorer,omitempty"`
 }
 
-// Scorer is the request to a scoring service that gives an item its score. It
-// goes where the route of its host and path leads, and may be repeated.
+// Scorer is a request to a scoring service. It is routed by its host and path and
+// may be sent more than once.
 type Scorer struct {
 	ID   string `json:"id"`
 	Host string `json:"host"`
@@ -94,7 +104,7 @@
 	Body []byte `json:"body,omitempty"`
 }
 
-// Spec is a job as it was submitted.
+// Spec is the specification of a job as submitted.
 type Spec struct {
 	ID         string `json:"id"`
 	Route      string `json:"route"`
@@ -104,61 +114,65 @@
 	MinVersion int64  `json:"min_version,omitempty"`
 	Desired    int    `json:"desired,omitempty"`
 	Items      []Item `json:"items"`
-	// Tenant goes into the head; it is kept there alone.
+	// Tenant is the tenant of the job. It is stored in the head only.
 	Tenant string `json:"-"`
 }
 
-// Caller is on whose behalf a call about a job is made.
+// Caller identifies on whose behalf a job is accessed.
 type Caller struct {
-	// Tenant holds the caller's key, empty for a caller without one.
+	// Tenant is the tenant of the caller's key, empty for a caller without a key.
 	Tenant string
-	// Anyone is set where the configuration knows no tenants: callers are not told
-	// apart.
+	// Anyone is set if the configuration defines no tenants. Every job is then
+	// visible to every caller.
 	Anyone bool
 }
 
-// sees tells whether there is a job for a caller: jobs of another tenant are not.
+// sees reports whether the caller may access the job with the given head.
 func (c Caller) sees(head Head) bool {
 	return c.Anyone || head.Tenant == "" || head.Tenant == c.Tenant
 }
 
-// Head is the row that owns a job.
+// Head is the row that records the owner and the progress of a job.
 type Head struct {
 	Owner       string `json:"owner"`
 	Incarnation int64  `json:"incarnation"`
 	Epoch       int64  `json:"epoch"`
-	// Pool is what the owner is chosen by; see ownerKey.
+	// Pool is the key by which the owner is chosen; see ownerKey.
 	Pool  string `json:"pool"`
 	Model string `json:"model,omitempty"`
-	// Tenant is on whose behalf the job runs, empty for nobody's. It is the name that
-	// the key stood for when the job was accepted: a key that is taken away later
-	// ends nothing.
+	// Tenant is the tenant for which the job runs, empty if there is none. It is
+	// resolved from the caller's key when the job is accepted; revoking the key later
+	// does not end the job.
 	Tenant string `json:"tenant,omitempty"`
-	// Route is the name of the job's route, and Regions are those in which the job could
-	// live when it was accepted, none for all: they bind it once the configuration no
-	// longer has the route.
+	// Route is the name of the job's route. Regions are the regions to which the job
+	// was confined when it was accepted, empty for all; they apply once the
+	// configuration no longer has the route.
 	Route   string   `json:"route,omitempty"`
 	Regions []string `json:"regions,omitempty"`
-	// Work is the tokens expected to come out of all items.
+	// Work is the expected number of output tokens of all items.
 	Work int `json:"work,omitempty"`
-	// Width is how many items have to run at once, 0 if the head does not tell.
+	// Width is the number of items that have to run concurrently, 0 if unknown.
 	Width int `json:"width,omitempty"`
+	// Total is the number of items, Count the number of committed results.
 	Total int `json:"total"`
 	Count int `json:"count"`
-	// More tells that a transaction could not hold all results that were finished: the
-	// next commit follows at once.
-	More  bool   `json:"more,omitempty"`
+	// More is set if the transaction could not hold all finished results, so that
+	// another commit follows at once.
+	More bool `json:"more,omitempty"`
+	// Nonce identifies the rows of the specification that belong to this head; Parts
+	// is their number.
 	Nonce string `json:"nonce"`
 	Parts int    `json:"parts"`
-	// SubmittedMillis is the accepting node's time of day, Unix milliseconds.
+	// SubmittedMillis is the time of submission in Unix milliseconds, by the wall
+	// clock of the accepting node.
 	SubmittedMillis int64 `json:"submitted_ms"`
-	// Failures counts failed runs by item index, ScoreFailures failed calls of
-	// scoring services.
+	// Failures counts failed runs by item index, ScoreFailures failed calls to the
+	// scoring service.
 	Failures      map[int]int `json:"failures,omitempty"`
 	ScoreFailures map[int]int `json:"score_failures,omitempty"`
 }
 
-// State is how an item ended.
+// State is the final state of an item.
 type State string
 
 // The states of a result.
@@ -167,46 +181,49 @@
 	Dead      State = "dead"
 )
 
-// Result is a listed item.
+// Result is the result of an item.
 type Result struct {
-	ID       string  `json:"id"`
-	State    State   `json:"state"`
-	Text     string  `json:"text"`
+	ID    string `json:"id"`
+	State State  `json:"state"`
+	Text  string `json:"text"`
+	// Versions are the weight versions that generated the text, ascending.
 	Versions []int64 `json:"versions,omitempty"`
-	// Score is what the scoring service returned, empty without a scorer.
+	// Score is the score that the scoring service returned, empty without a scorer.
 	Score string `json:"score,omitempty"`
 }
 
-// partialRow is a stretch of an unfinished item's text. Whole tells that the text
-// ends with it.
+// partialRow is a segment of an unfinished item's output.
 type partialRow struct {
 	Events   [][]byte `json:"events"`
 	Versions []int64  `json:"versions"`
-	Whole    bool     `json:"whole,omitempty"`
+	// Whole is set if the output ends with this segment.
+	Whole bool `json:"whole,omitempty"`
 }
 
-// Status tells how a call of the package ended.
+// Status is the outcome of an operation on a job.
 type Status int
 
-// The outcomes of calls.
+// The outcomes of operations.
 const (
-	// OK means done.
+	// OK means that the operation succeeded.
 	OK Status = iota
-	// NotFound means that there certainly is no such job or item.
+	// NotFound means that the job or item does not exist.
 	NotFound
-	// Unavailable means that the node cannot tell just now; nothing was done.
+	// Unavailable means that the node cannot answer at present. Nothing was changed.
 	Unavailable
-	// Uncertain means that it may have been done or be done later.
+	// Uncertain means that the operation may have taken effect or may do so later.
 	Uncertain
-	// Taken means that the job's id is in use for another tenant's job.
+	// Taken means that the job's id is in use by a job of another tenant.
 	Taken
-	// NoRegion means that the job's route and its tenant have no region in common, and
-	// NoNode, that no node stands in a region where the job may live; nothing was done.
+	// NoRegion means that the job's route and its tenant have no region in common.
+	// Nothing was changed.
 	NoRegion
+	// NoNode means that there is no node in the regions of the job. Nothing was
+	// changed.
 	NoNode
 )
 
-// String returns the status for logs.
+// String returns the name of the status that logs use.
 func (s Status) String() string {
 	return [...]string{"ok", "not_found", "unavailable", "uncertain", "taken", "no_region", "no_node"}[s]
 }
@@ -222,7 +239,8 @@
 	return rowID(TableResults, job, fmt.Sprintf("%08d", position))
 }
 
-// resultPartID returns the row of a part of a result, counted from 0.
+// resultPartID returns the row id of a part of a result. Parts are numbered from 0;
+// part 0 is the row of the result itself.
 func resultPartID(job string, position, part int) rowstore.RowID {
 	id := resultID(job, position)
 	if part > 0 {
@@ -239,7 +257,7 @@
 	return rowID(TablePartials, job, fmt.Sprintf("%08d/%s/%08d", item, line, from))
 }
 
-// splitKey returns the job and the rest of a row's key.
+// splitKey splits a row's key into the job's id and the rest.
 func splitKey(key string) (job, rest string) {
 	job, rest, _ = strings.Cut(key, "/")
 	return job, rest
@@ -248,12 +266,12 @@
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic("batch: a row cannot be encoded: " + err.Error())
+		panic("batch: encoding row: " + err.Error())
 	}
 	return encoded
 }
 
-// splitParts cuts content into parts of at most size bytes, at least one.
+// splitParts splits content into one or more parts of at most size bytes.
 func splitParts(content []byte, size int) [][]byte {
 	var parts [][]byte
 	for len(content) > size {
@@ -263,8 +281,8 @@
 	return append(parts, content)
 }
 
-// expectedTokens returns how many tokens an item is expected to make: the guess
-// that came with it, or else half of what it may.
+// expectedTokens returns the expected output length: the caller's hint, or half of
+// Tokens if there is none.
 func (i *Item) expectedTokens() int {
 	if i.LengthHint > 0 {
 		return i.LengthHint
@@ -272,7 +290,8 @@
 	return i.Tokens / 2
 }
 
-// age returns how long ago a job was submitted, never less than 0.
+// age returns the time since the job was submitted. It is 0 if the clock of the
+// accepting node is ahead.
 func (h Head) age(now time.Time) time.Duration {
 	return max(0, now.Sub(time.UnixMilli(h.SubmittedMillis)))
 }
--- a/internal/gatewaynode/batch/finish.go
+++ b/internal/gatewaynode/batch/finish.go
@@ -8,7 +8,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/eventlog"
 )
 
-// finish records that an item ended. The lock is held.
+// finish records the final state of an item and wakes the commit loop. The lock is held.
 func (r *runner) finish(job *ownedJob, index int, state State) {
 	item := &job.items[index]
 	if item.phase == phaseFinished {
@@ -31,14 +31,15 @@
 	job.wakeCommit()
 }
 
-// keep keeps the text of an item for a later job, where it may be kept. The lock is held.
+// keep retains the output of an item for later jobs if the job is allowed in this node's
+// region. The lock is held.
 func (r *runner) keep(job *ownedJob, item string, made text) {
 	if r.manager.allowedHere(job.origin) {
 		r.kept.put(item, made, job.origin.kind())
 	}
 }
 
-// wakeCommit makes the commit loop look at the job.
+// wakeCommit wakes the job's commit loop.
 func (j *ownedJob) wakeCommit() {
 	select {
 	case j.wake <- struct{}{}:
@@ -46,7 +47,8 @@
 	}
 }
 
-// close stops a job's runs; texts made so far are kept for a later job.
+// close closes a job and cancels its runs. The output of unfinished items is kept for
+// later jobs.
 func (r *runner) close(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,8 +66,8 @@
 	job.cancel()
 }
 
-// suspend ends a job's runs for good and returns what is not stored yet of the
-// items that are not finished.
+// suspend cancels a job's runs, prevents new ones, and returns the unsaved output of
+// unfinished items. It returns nil if the job is not open or not ready.
 func (r *runner) suspend(id string) (*ownedJob, []stretch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +85,8 @@
 	return job, r.newText(job, 0)
 }
 
-// committed returns results from memory if this node owns the job.
+// committed returns up to limit committed results from memory, starting at position
+// after. It returns none if the job is not open on this node.
 func (r *runner) committed(id string, after, limit int) []Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,11 +98,11 @@
 	return job.committed[after:end:end]
 }
 
-// expireMargin is added to the time after which items may be given up, since
-// the times of day of two nodes differ.
+// expireMargin is added to the maximum queue time of a route before items expire, since
+// the wall clocks of two nodes differ.
 const expireMargin = 4 * time.Second
 
-// expire gives up items that have waited for too long.
+// expire finishes all items as dead that exceeded the maximum queue time of their route.
 func (r *runner) expire() {
 	now := time.Now()
 	r.mu.Lock()
@@ -120,7 +123,7 @@
 				job.items[i].cancel(errExpired)
 			}
 			job.items[i].score.cancelCalls()
-			r.manager.config.Log.Warn(eventlog.ItemDead, eventlog.Fields{eventlog.Job: job.id, eventlog.Item: job.spec.Items[i].ID, eventlog.Cause: "waited too long"})
+			r.manager.config.Log.Warn(eventlog.ItemDead, eventlog.Fields{eventlog.Job: job.id, eventlog.Item: job.spec.Items[i].ID, eventlog.Cause: "exceeded the maximum queue time"})
 			r.finish(job, i, Dead)
 		}
 	}
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -18,9 +18,9 @@
 	"github.com/sliplift/sliplift/internal/pause"
 )
 
-// Reach tells how back ends can be reached.
+// Reach reports the state of the connections to backends.
 type Reach interface {
-	// Fill tells back ends how they can be reached now.
+	// Fill sets the Reach field of each backend to its state at the time now.
 	Fill(backends []fleet.Backend, now time.Time)
 }
 
@@ -31,65 +31,71 @@
 	Presence *presence.Registry
 	Fleet    *fleet.Fleet
 	Client   *upstream.Client
-	// Gate decides which back ends may get a request.
-	Gate *eligibility.Gate
-	Log  *eventlog.Log
-	// Reach tells how back ends can be reached.
+	// Gate decides which backends may receive a request.
+	Gate  *eligibility.Gate
+	Log   *eventlog.Log
 	Reach Reach
 	// Routes returns the configuration in force, nil while there is none.
 	Routes func() *routetable.Table
 	// WorkOf returns the fingerprint of a request.
 	WorkOf func(fingerprint.Work) fingerprint.Fingerprint
-	// Trials gives quarantined items out for a trial.
+	// Trials grants trial runs of quarantined items.
 	Trials Trials
-	// VersionField names the stream field that tells the weight version.
+	// VersionField is the name of the event field that carries the weight version.
 	VersionField string
-	// Pacing says how often the store may be asked.
+	// Pacing limits how often the store is read.
 	Pacing rowstore.Pacing
-	// Keep is how long a job stays readable after it was submitted.
+	// Keep is how long a job stays readable after its submission.
 	Keep time.Duration
-	// OnWork is told that this node begins to run jobs after it ran none; it may be nil.
+	// OnWork is called when this node opens a job while it has none open. It may be
+	// nil.
 	OnWork func()
-	// Orders tells whether this node gives the orders to back ends, or is near to it: what
-	// it orders follows the jobs. It may be nil.
+	// Orders reports whether this node orders backends to load models or is among the
+	// first that would take that role over; the orders depend on the jobs. It may be
+	// nil.
 	Orders func() bool
-	// Settle is the time after which every node has to know of a result that was read.
+	// Settle is the time within which a result that any node has returned must be
+	// visible on every node.
 	Settle time.Duration
 }
 
-// Trials says when quarantined requests may be sent on.
+// Trials grants trial runs of quarantined requests.
 type Trials interface {
-	// MayTry tells whether Try may be asked.
+	// MayTry reports whether a trial may be due. Try is called only then.
 	MayTry(work fingerprint.Fingerprint) bool
-	// Try tells whether this node may send a quarantined work on once. It asks the store.
+	// Try reports whether this node may send a quarantined request once. It accesses
+	// the store.
 	Try(ctx context.Context, work fingerprint.Fingerprint) bool
 }
 
-// jobState is what a node knows of a job.
+// jobState is a node's view of a job.
 type jobState struct {
 	id           string
 	head         Head
 	headRevision int64
-	known        bool
-	ended        bool
-	// changed is closed and replaced whenever head or end changes.
+	// known is set once the head has been read.
+	known bool
+	// ended is set if the job was ended by a caller.
+	ended bool
+	// changed is closed and replaced whenever the head or ended changes.
 	changed chan struct{}
-	// seen is when the node first knew of the job, by its steady clock.
+	// seen is when this node first learned of the job, with a monotonic clock reading.
 	seen time.Time
-	// orphaned is when the owner was first found to be gone.
+	// orphaned is when the owner was first found to be gone, zero while it is not.
 	orphaned time.Time
-	// taking tells that this node is changing the owner.
+	// taking is set while this node is changing the owner.
 	taking bool
-	// left is when this node last handed the job over since it may not live here.
+	// left is when this node last handed the job over because it is not allowed in
+	// this node's region.
 	left time.Time
-	// waiting tells that no node stands where the job may live.
+	// waiting is set if there is no node in the job's regions.
 	waiting bool
 }
 
-// finished tells whether nothing of the job is left to run.
+// finished reports whether no item of the job is left to run.
 func (s *jobState) finished() bool { return s.ended || s.known && s.head.Count >= s.head.Total }
 
-// Manager answers callers about jobs and runs those that the node owns. It is
+// Manager serves requests about jobs and runs the jobs that this node owns. It is
 // safe for concurrent use.
 type Manager struct {
 	config Config
@@ -97,20 +103,21 @@
 	view   *rowstore.View
 	specs  *specCache
 	runner *runner
-	// confinements are those of the configuration in force.
+	// confinements are the region restrictions of the configuration in force.
 	confinements confinements
-	// forgotten is the configuration by which memory was gone through last.
+	// forgotten is the configuration for which forget ran last.
 	forgotten atomic.Pointer[routetable.Table]
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
 	stopping bool
-	base     context.Context
-	// held counts the reads that are held until there is a result.
+	// base is the context of Run, nil before Run is called.
+	base context.Context
+	// held counts the pending reads that wait for a result.
 	held int
 }
 
-// NewManager returns a manager; Run has to be called.
+// NewManager returns a Manager, which does nothing until Run is called.
 func NewManager(config Config) *Manager {
 	manager := &Manager{
 		config: config,
@@ -131,11 +138,11 @@
 	return manager
 }
 
-// OwnsJobs tells whether this node runs jobs.
+// OwnsJobs reports whether this node has jobs open.
 func (m *Manager) OwnsJobs() bool { return !m.runner.idle() }
 
-// interested tells whether this node makes use of the newest heads: it runs jobs,
-// callers wait for results, or it gives orders by them.
+// interested reports whether this node needs up-to-date heads: it runs jobs, callers
+// wait for results, or Config.Orders returns true.
 func (m *Manager) interested() bool {
 	m.mu.Lock()
 	held := m.held
@@ -143,17 +150,16 @@
 	return held > 0 || m.OwnsJobs() || m.config.Orders != nil && m.config.Orders()
 }
 
-// Known tells whether the jobs have been read.
+// Known reports whether the heads of all jobs have been read once.
 func (m *Manager) Known() bool { return m.view.Status().Loaded }
 
-// needed tells whether this node makes use of the heads, or is among those that take
-// jobs over.
+// needed reports whether this node uses the heads or may take over jobs.
 func (m *Manager) needed() bool {
 	return m.interested() || m.Keeps(time.Now())
 }
 
-// rest returns the most time between a failure of the view and the next try: nodes that
-// run jobs, or would take over those of others, are not to be late.
+// rest returns the maximum delay before the view retries a failed read. It is 0 for
+// nodes that run jobs or may take over those of others, which must not fall behind.
 func (m *Manager) rest() time.Duration {
 	if m.needed() {
 		return 0
@@ -161,8 +167,8 @@
 	return m.config.Pacing.IdleRest()
 }
 
-// hold counts a read that is held, and follows the heads closely from now on; the
-// function returned ends it.
+// hold registers a pending read, which makes the view refresh more often. The returned
+// function ends the registration.
 func (m *Manager) hold() func() {
 	m.mu.Lock()
 	m.held++
@@ -178,14 +184,15 @@
 // View returns the view of the jobs' heads.
 func (m *Manager) View() *rowstore.View { return m.view }
 
-// Kick makes the manager look again at what can be run.
+// Kick triggers scheduling.
 func (m *Manager) Kick() { m.runner.kick() }
 
-// reconcileEvery is how often ownership is checked without a change.
+// reconcileEvery is the interval at which ownership is checked in the absence of
+// changes.
 const reconcileEvery = 200 * time.Millisecond
 
-// Run keeps the view, takes over orphaned jobs and runs owned ones until ctx
-// ends.
+// Run maintains the view, takes over orphaned jobs and runs owned jobs until ctx is
+// done.
 func (m *Manager) Run(ctx context.Context) {
 	m.mu.Lock()
 	m.base = ctx
@@ -202,7 +209,8 @@
 	group.Wait()
 }
 
-// apply takes changed rows of the jobs table.
+// apply applies changed rows of the jobs table. If complete is set, rows holds the
+// whole table, and jobs that are not in it are removed.
 func (m *Manager) apply(rows []rowstore.Row, complete bool) {
 	m.mu.Lock()
 	present := make(map[string]bool, len(rows))
@@ -213,7 +221,7 @@
 	}
 	if complete {
 		for id, state := range m.jobs {
-			// A job this node has just written may be newer than the read.
+			// A job that this node has just written may be newer than this read.
 			if !present[id] && time.Since(state.seen) > m.config.Keep {
 				delete(m.jobs, id)
 			}
@@ -223,6 +231,7 @@
 	m.reconcileNow()
 }
 
+// applyRow applies a row of the jobs table. The lock is held.
 func (m *Manager) applyRow(job, kind string, row rowstore.Row) {
 	state := m.state(job)
 	if row.Deleted {
@@ -242,7 +251,7 @@
 	}
 }
 
-// state returns the state of a job, made if need be. The lock is held.
+// state returns the state of a job, creating it if necessary. The lock is held.
 func (m *Manager) state(job string) *jobState {
 	state := m.jobs[job]
 	if state == nil {
@@ -252,6 +261,7 @@
 	return state
 }
 
+// setHead replaces the head unless the revision is not newer than the known one.
 func (s *jobState) setHead(head Head, revision int64) {
 	if revision <= s.headRevision {
 		return
@@ -263,6 +273,7 @@
 	s.announce()
 }
 
+// end records that the job was ended.
 func (s *jobState) end() {
 	if !s.ended {
 		s.ended = true
@@ -270,19 +281,20 @@
 	}
 }
 
+// announce wakes the goroutines that wait for a change.
 func (s *jobState) announce() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// adopt takes a head that this node wrote or read itself.
+// adopt applies a head that this node has written or read itself.
 func (m *Manager) adopt(job string, head Head, revision int64) {
 	m.mu.Lock()
 	m.state(job).setHead(head, revision)
 	m.mu.Unlock()
 }
 
-// snapshot returns what is known of a job.
+// snapshot returns a copy of a job's state and whether the job is in memory.
 func (m *Manager) snapshot(job string) (jobState, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -293,6 +305,8 @@
 	return *state, true
 }
 
+// adoptRows applies rows of the jobs table that a read or a conflict returned. Rows
+// with revision 0 do not exist and are skipped.
 func (m *Manager) adoptRows(rows []rowstore.Row) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -305,9 +319,9 @@
 	}
 }
 
-// End ends a job; repeated calls are OK too. A job that is not there is ended
-// in advance, so that a submission which is still on its way does not run. There is
-// no job of another tenant to end.
+// End ends a job. It is idempotent. Ending an unknown job prevents a submission that
+// is still in flight from creating it. For a job of another tenant End returns
+// NotFound.
 func (m *Manager) End(ctx context.Context, caller Caller, job string) Status {
 	if state, found := m.snapshot(job); found && state.ended && !state.known {
 		return OK
@@ -333,7 +347,7 @@
 	return OK
 }
 
-// reconcileNow looks at ownership at once, if the manager runs.
+// reconcileNow calls reconcile if Run has been called.
 func (m *Manager) reconcileNow() {
 	m.mu.Lock()
 	ctx := m.base
@@ -343,7 +357,7 @@
 	}
 }
 
-// lookUp returns a job's state, from the store if the view does not have it.
+// lookUp returns a job's state, reading the head from the store if it is unknown.
 func (m *Manager) lookUp(ctx context.Context, job string) (jobState, Status) {
 	if state, found := m.snapshot(job); found && state.known {
 		return state, OK
@@ -351,7 +365,7 @@
 	return m.readHead(ctx, job)
 }
 
-// readHead returns a job's state as the store has it.
+// readHead reads a job's head from the store and returns the updated state.
 func (m *Manager) readHead(ctx context.Context, job string) (jobState, Status) {
 	prefix := job + "/"
 	snapshot, err := m.config.Store.List(ctx, TableJobs, rowstore.Shard(job), prefix, rowstore.KeyEnd(prefix), 2)
@@ -369,7 +383,8 @@
 	return state, OK
 }
 
-// lookUpFor is lookUp for a caller, for whom there are no jobs of other tenants.
+// lookUpFor is like lookUp but returns NotFound for jobs that the caller may not
+// access.
 func (m *Manager) lookUpFor(ctx context.Context, caller Caller, job string) (jobState, Status) {
 	state, status := m.lookUp(ctx, job)
 	if status == OK && !caller.sees(state.head) {
@@ -378,7 +393,7 @@
 	return state, status
 }
 
-// Body returns the body of an item.
+// Body returns the request body of an item.
 func (m *Manager) Body(ctx context.Context, caller Caller, job, item string) ([]byte, Status) {
 	state, status := m.lookUpFor(ctx, caller, job)
 	if status != OK {
--- a/internal/gatewaynode/batch/open.go
+++ b/internal/gatewaynode/batch/open.go
@@ -10,16 +10,16 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// stored is what the store holds of a job.
+// stored is the state of a job as read from the store.
 type stored struct {
 	spec      *Spec
 	committed []Result
-	// texts are the longest stored texts of unfinished items, by index.
+	// texts are the longest checkpointed outputs of unfinished items, by item index.
 	texts map[int]text
 }
 
-// read reads what the store holds of a job: specification and results side by
-// side, then the texts of items that are not listed.
+// read reads a job from the store: the specification and the results concurrently,
+// then the checkpointed output of the items without a result.
 func (r *runner) read(job *ownedJob) (stored, error) {
 	var found stored
 	var specErr, resultErr error
@@ -38,6 +38,8 @@
 	return found, err
 }
 
+// readCommitted reads all committed results of a job. It returns
+// rowstore.ErrStale if there are fewer than the head counts.
 func (r *runner) readCommitted(job *ownedJob) ([]Result, error) {
 	prefix := job.id + "/"
 	rows, _, err := rowstore.ListAll(r.manager.within(job.ctx, job.origin), r.manager.config.Store, TableResults, rowstore.Shard(job.id), prefix, rowstore.KeyEnd(prefix))
@@ -51,7 +53,7 @@
 	return committed, err
 }
 
-// listedIDs returns the ids of the items that results name.
+// listedIDs returns the set of item ids in results.
 func listedIDs(results []Result) map[string]bool {
 	listed := make(map[string]bool, len(results))
 	for _, result := range results {
@@ -60,7 +62,7 @@
 	return listed
 }
 
-// unlisted returns the items that no result names, by index.
+// unlisted returns the indices of the items without a committed result.
 func unlisted(spec *Spec, committed []Result) []int {
 	listed := listedIDs(committed)
 	var rest []int
@@ -72,12 +74,12 @@
 	return rest
 }
 
-// textLists is up to how many items texts are read item by item: those of items
-// that are listed stay in the store, and are most of what lies there when few
-// items are left.
+// textLists is the maximum number of items whose output is read with one list call
+// each. Checkpoints of finished items stay in the store, so that listing the whole
+// job for a few remaining items would mostly read rows of no use.
 const textLists = 32
 
-// readTexts reads the stored texts of items.
+// readTexts reads the checkpointed output of items, by item index.
 func (r *runner) readTexts(job *ownedJob, items []int) (map[int]text, error) {
 	ctx := r.manager.within(job.ctx, job.origin)
 	if len(items) > textLists {
@@ -100,6 +102,7 @@
 	return found, failed
 }
 
+// readTextsUnder reads the checkpointed output under a key prefix, by item index.
 func (r *runner) readTextsUnder(ctx context.Context, job, prefix string) (map[int]text, error) {
 	rows, _, err := rowstore.ListAll(ctx, r.manager.config.Store, TablePartials, rowstore.Shard(job), prefix, rowstore.KeyEnd(prefix))
 	if err != nil {
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -13,11 +13,11 @@
 	"github.com/sliplift/sliplift/internal/pause"
 )
 
-// takeOverStagger separates the nodes that could take a job over: the first in
-// rank acts at once, each further one a stagger later.
+// takeOverStagger is the delay per rank before a node takes over an orphaned job, so
+// that the candidates do not compete for it.
 const takeOverStagger = 400 * time.Millisecond
 
-// action is what a node has to do about a job.
+// action is what a node has to do next about a job.
 type action int
 
 const (
@@ -25,23 +25,32 @@
 	actOpen
 	actClose
 	actTakeOver
-	// actLeave: the job may no longer live in this node's region.
+	// actLeave hands over a job that is no longer allowed in this node's region.
 	actLeave
 )
 
-// situation is what decides about a job.
+// situation is the input of decide for one job.
 type situation struct {
-	known, finished, mine, running, stopping, taking bool
-	// outside tells that the job may not live in this node's region.
+	known    bool // the head has been read
+	finished bool // no item is left to run
+	mine     bool // the head names this node as the owner
+	running  bool // this node has the job open
+	stopping bool // this node is stopping
+	taking   bool // this node is changing the owner
+	// outside is set if the job is not allowed in this node's region.
 	outside bool
-	// leftLately tells that this node handed the job over less than leaveRest ago.
-	leftLately  bool
-	owner       presence.Liveness
+	// leftLately is set if this node handed the job over less than leaveRest ago.
+	leftLately bool
+	// owner is the liveness of the owner if that is another node.
+	owner presence.Liveness
+	// orphanedFor is the time since the owner was found to be gone.
 	orphanedFor time.Duration
-	rank        int
+	// rank is this node's rank among those that may take the job over, -1 if it is
+	// none of them.
+	rank int
 }
 
-// decide returns what to do about a job. It is pure.
+// decide returns the next action for a job.
 func decide(s situation) action {
 	switch {
 	case s.running && (!s.mine || s.finished):
@@ -62,7 +71,7 @@
 	return actNothing
 }
 
-// reconcile brings what runs here in line with what the heads say.
+// reconcile opens, closes, takes over and hands over jobs as their heads require.
 func (m *Manager) reconcile(ctx context.Context) {
 	now := time.Now()
 	type task struct {
@@ -106,9 +115,9 @@
 	}
 }
 
-// judgeOwner finds out whether a job that is another node's needs a new owner, and which
-// place this node has among those who could be it. Where there is none, the first in rank
-// of all keepers says that the job waits.
+// judgeOwner fills in the liveness of a job's owner, which is another node, and this
+// node's rank among those that may take the job over. If no node may, the keeper that
+// ranks first across all regions logs that the job waits. The lock is held.
 func (m *Manager) judgeOwner(state *jobState, current *situation, regions place.Regions, members func() *presence.Members, now time.Time) {
 	current.owner = m.config.Presence.Liveness(state.head.Owner, state.head.Incarnation, now)
 	if current.owner != presence.Gone {
@@ -126,6 +135,7 @@
 	m.noteWaiting(state, regions, len(able) == 0, first)
 }
 
+// act performs an action on a job.
 func (m *Manager) act(ctx context.Context, id string, act action) {
 	switch act {
 	case actOpen:
@@ -162,12 +172,12 @@
 	m.reconcile(ctx)
 }
 
-// headAttempts bounds the writes of one change of a head.
+// headAttempts is the maximum number of attempts to replace a head.
 const headAttempts = 5
 
-// replaceHead writes a head on the condition of a revision. After an unknown
-// outcome it writes again: either that succeeds, or the conflict shows what
-// became of the first.
+// replaceHead writes a head on the condition of a revision. It retries failures and
+// unknown outcomes under the same condition, so that a conflict shows whether an
+// earlier attempt took effect.
 func (m *Manager) replaceHead(ctx context.Context, id string, revision int64, head Head) Status {
 	transaction := rowstore.Transaction{
 		Conditions: []rowstore.Condition{{RowID: headID(id), Revision: revision}},
@@ -199,9 +209,9 @@
 	return status
 }
 
-// Stop hands all owned jobs to other nodes: runs are ended, what they have made
-// so far is stored, and the head names the next owner. It returns when all is
-// written or ctx ends. No job is opened or taken over afterwards.
+// Stop hands all owned jobs over to other nodes: it cancels their runs, stores the
+// output so far, and writes heads that name the next owners. It returns when all jobs
+// are handed over or ctx is done. No job is opened or taken over afterwards.
 func (m *Manager) Stop(ctx context.Context) {
 	m.mu.Lock()
 	m.stopping = true
@@ -211,6 +221,8 @@
 	}
 }
 
+// handOver stops a job's runs, commits its results, stores the output of unfinished
+// items, and makes another node the owner if there is one.
 func (m *Manager) handOver(ctx context.Context, id string) {
 	job, unsaved := m.runner.suspend(id)
 	m.runner.flush(ctx, id)
@@ -240,14 +252,14 @@
 }
 
 const (
-	// cleanMargin is added to the time a job is kept.
+	// cleanMargin is added to Config.Keep before the rows of a job are deleted.
 	cleanMargin = 10 * time.Second
-	// cleanRows is the number of rows removed in one transaction.
+	// cleanRows is the maximum number of rows deleted in one transaction.
 	cleanRows = 90
 )
 
-// cleanUp removes the rows of one job that nobody may ask for any more. The node
-// that is first in rank for the job does it.
+// cleanUp deletes the rows of one expired job. Only the node that ranks first for the
+// job does so.
 func (m *Manager) cleanUp(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
@@ -262,7 +274,7 @@
 	if old == "" {
 		return
 	}
-	// What is removed is read before, so that only a node where the job may live does it.
+	// Deleting reads the rows first, so only nodes in the job's regions may do it.
 	state, _ := m.snapshot(old)
 	keepers := m.config.Presence.Members(now).KeepersWithin(m.regionsOf(state.head))
 	if presence.Place(presence.Rank(keepers, old), m.self.Name) != 0 {
@@ -279,6 +291,7 @@
 	m.mu.Unlock()
 }
 
+// removeRows deletes a job's rows from a table and reports whether all were deleted.
 func (m *Manager) removeRows(ctx context.Context, table, job string) bool {
 	rows, _, err := rowstore.ListAll(ctx, m.config.Store, table, rowstore.Shard(job), job+"/", rowstore.KeyEnd(job+"/"))
 	if err != nil {
--- a/internal/gatewaynode/batch/ownerkey.go
+++ b/internal/gatewaynode/batch/ownerkey.go
@@ -5,14 +5,13 @@
 	"hash/fnv"
 )
 
-// ownerSlots is the number of streams that one owner serves at once. A stream
-// brings some 25 events a second, and an event costs an owner about 40 us
-// (docs/CAPACITY.md): 600 streams take 0.6 of a core.
+// ownerSlots is the number of concurrent streams that one owner serves. It keeps the
+// event handling of an owner below one CPU core.
 const ownerSlots = 600
 
-// ownerKey returns the key that jobs are assigned to nodes by: one for a service
-// that one node can serve, one a model for a larger one, and one a share of the
-// jobs for a still larger one. It is pure.
+// ownerKey returns the key that is hashed to choose the owner of a job. A service
+// whose slots one node can serve has a single key. A larger one has a key per model
+// or, if there are too few models, a key per shard of the job ids.
 func ownerKey(service, model, job string, slots, models int) string {
 	shards := (slots + ownerSlots - 1) / ownerSlots
 	switch {
@@ -26,10 +25,11 @@
 	return shardKey(service, int(hash.Sum32()%uint32(shards)))
 }
 
+// shardKey returns the owner key of a shard of a service's jobs.
 func shardKey(service string, shard int) string { return fmt.Sprintf("%s/%d", service, shard) }
 
-// OwnerKeys returns all keys that jobs of a service with some slots and models may be
-// assigned by, ordered. It is pure.
+// OwnerKeys returns all owner keys that jobs of a service may have, in the order of
+// models or shards.
 func OwnerKeys(service string, models []string, slots int) []string {
 	shards := (slots + ownerSlots - 1) / ownerSlots
 	if shards <= 1 {
--- a/internal/gatewaynode/batch/results.go
+++ b/internal/gatewaynode/batch/results.go
@@ -13,21 +13,25 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// Page is a part of a job's results.
+// Page is a sequence of consecutive results of a job.
 type Page struct {
-	Total   int
+	// Total is the number of items of the job.
+	Total int
+	// Next is the position after the last result of the page.
 	Next    int
 	Results []Result
 }
 
 const (
-	// pageBytes bounds the texts of a page; pageRows its results.
+	// pageBytes is the maximum total size of the texts of a page, unless its first
+	// result alone is larger.
 	pageBytes = 900 << 10
-	pageRows  = 200
+	// pageRows is the maximum number of rows read for a page, and of its results.
+	pageRows = 200
 )
 
-// Results returns the results from a position on. While there are none it waits
-// for one, for wait at most.
+// Results returns results from position after on. If there are none yet, it waits for up
+// to wait until one is committed.
 func (m *Manager) Results(ctx context.Context, caller Caller, job string, after int, wait time.Duration) (Page, Status) {
 	state, status := m.lookUpFor(ctx, caller, job)
 	if status != OK {
@@ -38,7 +42,7 @@
 		defer m.hold()()
 	}
 	if state.head.Count < after {
-		// The caller has read more than this node knows of.
+		// The caller has read results on another node that are not visible here yet.
 		if state, status = m.readHead(ctx, job); status != OK {
 			return Page{}, status
 		}
@@ -67,14 +71,15 @@
 	return Page{Total: state.head.Total, Next: after + len(results), Results: results}, status
 }
 
-// freshShare is the age of a view, as a share of Config.Settle, up to which its word
-// is taken that there is no newer result; the rest of the time is the answer's way.
+// freshShare is the maximum age of a view, as a share of Config.Settle, at which it is
+// trusted that there is no newer result. The rest of that time is left for the response
+// to reach the caller.
 const freshShare = 0.5
 
-// confirmed returns the state of a job as it is now, or as this node knows it if the
-// store does not answer: a caller must not be told that there is nothing at a position
-// which was read elsewhere, and views are behind where many nodes share the store's
-// reads.
+// confirmed returns the state of a job as read from the store, or the given state if it is
+// recent or the store is unavailable. It guards against reporting that there is no result
+// at a position that was already read on another node: views lag behind if many nodes
+// share the read capacity of the store.
 func (m *Manager) confirmed(ctx context.Context, state jobState) jobState {
 	status := m.view.Status()
 	owned := state.head.Owner == m.self.Name && m.runner.has(state.id)
@@ -87,12 +92,12 @@
 	return state
 }
 
-// moreMost is how long a read waits for a commit that follows at once.
+// moreMost is the maximum time for which a read waits for a commit announced by
+// Head.More.
 const moreMost = 300 * time.Millisecond
 
-// awaitMore waits while the owner says that the next commit follows at once: a
-// caller that is answered with a part comes back for the rest only half a second
-// later.
+// awaitMore waits until Head.More is unset, for up to limit. A caller that gets only a part
+// of the finished results would read the rest no sooner than half a second later.
 func (m *Manager) awaitMore(ctx context.Context, job string, limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for {
@@ -104,6 +109,8 @@
 	}
 }
 
+// waitChange waits until changed is closed and reports whether that happened before limit
+// passed or ctx was done.
 func waitChange(ctx context.Context, changed <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -116,7 +123,8 @@
 	return false
 }
 
-// readResults reads results that are known to be committed.
+// readResults returns a page of committed results from memory or the store. The head must
+// count at least one result from position after on.
 func (m *Manager) readResults(ctx context.Context, job string, after int) ([]Result, Status) {
 	if results := m.runner.committed(job, after, pageRows); len(results) > 0 {
 		return trimPage(results), OK
@@ -129,14 +137,14 @@
 	}
 	results, err := decodeResults(snapshot.Rows, after)
 	if len(results) == 0 || err != nil && !snapshot.More {
-		// The head said that there are some: the read is behind.
+		// The head counts more results: the read was stale.
 		return nil, Unavailable
 	}
 	return trimPage(results), OK
 }
 
-// resultRows returns the rows of the result at a position: its encoding, cut to
-// values of at most most bytes.
+// resultRows returns the rows of the result at a position: its encoding, split into values
+// of at most most bytes.
 func resultRows(job string, position int, encoding []byte, most int) []rowstore.Row {
 	parts := splitParts(encoding, most)
 	rows := make([]rowstore.Row, len(parts))
@@ -146,11 +154,11 @@
 	return rows
 }
 
-// errNotConsecutive says that rows of results are missing.
-var errNotConsecutive = errors.New("batch: positions are not consecutive")
+// errNotConsecutive means that rows of results are missing.
+var errNotConsecutive = errors.New("batch: result rows are not consecutive")
 
-// decodeResults returns the results at consecutive positions from first on. With
-// an error, it returns those before the first that is missing or not whole.
+// decodeResults decodes the results at consecutive positions from first on. If it returns
+// an error, it also returns the results before the first missing or incomplete one.
 func decodeResults(rows []rowstore.Row, first int) ([]Result, error) {
 	var results []Result
 	for len(rows) > 0 {
@@ -164,7 +172,7 @@
 		}
 		var result Result
 		if err := json.Unmarshal(value, &result); err != nil {
-			return results, fmt.Errorf("batch: result at %d: %w", first+len(results), err)
+			return results, fmt.Errorf("batch: decoding result at position %d: %w", first+len(results), err)
 		}
 		results = append(results, result)
 		rows = rows[count:]
@@ -172,8 +180,8 @@
 	return results, nil
 }
 
-// partsOfFirst returns how many rows at the head of rows, one at least, are
-// consecutive parts of one result.
+// partsOfFirst returns the number of leading rows that are consecutive parts of one
+// result, which is at least 1.
 func partsOfFirst(rows []rowstore.Row) int {
 	first, _ := resultPlace(rows[0].Key)
 	count := 1
@@ -186,8 +194,8 @@
 	return count
 }
 
-// resultPlace returns the position and part that a key of a result's row names,
-// -1 for a key that names none.
+// resultPlace parses the position and the part from the key of a result's row. Both are
+// -1 if the key is malformed.
 func resultPlace(key string) (position, part int) {
 	_, rest := splitKey(key)
 	first, further, _ := strings.Cut(rest, "/")
@@ -204,6 +212,7 @@
 	return position, part
 }
 
+// trimPage cuts results to pageBytes, keeping at least one.
 func trimPage(results []Result) []Result {
 	size := 0
 	for i, result := range results {
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -18,47 +18,48 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// Causes for which this node itself ends a run.
+// Causes for which this node cancels a run.
 var (
 	errStopping = errors.New("node is stopping")
-	errExpired  = errors.New("item waited too long")
-	errMoved    = errors.New("moved to a faster back end")
+	errExpired  = errors.New("item exceeded the maximum queue time")
+	errMoved    = errors.New("item moved to a faster backend")
 	errSilent   = fmt.Errorf("no event: %w", upstream.ErrSilent)
 )
 
-// Ends of a run that its back end brought about.
+// Failures of a run that are due to its backend.
 var (
-	errGap        = errors.New("event is not the next one")
-	errOldVersion = errors.New("weights older than the job allows")
-	errMixed      = errors.New("weights of another version than the text so far")
-	errNoStream   = errors.New("answer is no event stream")
-	errEmpty      = errors.New("stream without events")
-	errUndoable   = errors.New("back end says it can never be done")
-	errFailed     = errors.New("back end failed")
+	errGap        = errors.New("event id out of sequence")
+	errOldVersion = errors.New("weight version older than the job's minimum")
+	errMixed      = errors.New("weight version differs from that of the output so far")
+	errNoStream   = errors.New("response is not an event stream")
+	errEmpty      = errors.New("stream ended without events")
+	errUndoable   = errors.New("backend rejected the item as unprocessable")
+	errFailed     = errors.New("backend returned a server error")
 )
 
-// run is one run of an item at one back end.
+// run is one execution of an item on one backend.
 type run struct {
 	runner  *runner
 	job     *ownedJob
 	index   int
 	route   *routetable.Route
 	backend fleet.Backend
-	// request decides which back ends may get the item.
+	// request decides which backends may receive the item.
 	request eligibility.Request
 	work    fingerprint.Fingerprint
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
+	// endSlot releases the slot of the run in the fleet's accounts.
 	endSlot func()
-	// asked tells that the run waits for a connection no longer.
+	// asked removes the run from the runner's unsent counts.
 	asked func()
-	// deadline is when the back end has to stop work; zero means none.
+	// deadline is when the backend has to stop processing; zero means none.
 	deadline time.Time
-	// priority is the rank of the run at its back end.
+	// priority is the priority of the run at its backend.
 	priority int
 }
 
-// launch starts a run. The lock is held.
+// launch starts a run of an item on a backend. The lock is held.
 func (r *runner) launch(job *ownedJob, index int, route *routetable.Route, backend fleet.Backend) {
 	ctx, cancel := context.WithCancelCause(job.ctx)
 	item := &job.items[index]
@@ -85,21 +86,21 @@
 	go started.serve(after)
 }
 
-// How far runs are put behind others of their rank at their back ends. One that runs out
-// of memory puts the newest of the lowest priority back, which then is silent until there
-// is room, and is read anew.
+// Priority offsets of runs within their rank, by the item's expected length. A backend
+// that runs out of memory preempts the newest run of the lowest priority, which produces
+// no events until there is memory again and then has to be prefilled anew.
 const (
 	behindLong   = 0
 	behindMiddle = 1
 	behindShort  = 2
 )
 
-// longText is from how many events on an item counts as long, whatever was expected of
-// it: twice the length of most.
+// longText is the number of events from which an item counts as long, whatever its
+// expected length.
 const longText = 30
 
-// behind returns how far the item's next run is put behind others: a step waits for its
-// longest items, and what they have made is the most to be read again.
+// behind returns the priority offset of the item's next run. Long items go first: they
+// determine when their training step ends, and preempting them costs the most prefill.
 func (i *itemState) behind() int {
 	switch {
 	case i.long || len(i.text.events) >= longText:
@@ -110,7 +111,7 @@
 	return behindMiddle
 }
 
-// admit asks at the moment of sending whether the back end may get the item.
+// admit checks immediately before sending whether the backend may receive the item.
 func (r *run) admit() error {
 	defer r.asked()
 	return r.runner.manager.config.Gate.Admit(r.backend.ID, r.request)
@@ -118,7 +119,8 @@
 
 func (r *run) item() *Item { return &r.job.spec.Items[r.index] }
 
-// serve runs the item until its end or a failure, and settles what became of it.
+// serve executes the run and passes its outcome to settle. after is the number of
+// events that the item has already.
 func (r *run) serve(after int) {
 	err := r.stream(after)
 	cause := context.Cause(r.ctx)
@@ -132,6 +134,8 @@
 	r.runner.kick()
 }
 
+// call returns the upstream call of the run, which resumes after the given number of
+// events.
 func (r *run) call(after int) *upstream.Call {
 	item := r.item()
 	header := make(http.Header, len(item.Header))
@@ -151,9 +155,10 @@
 	return call
 }
 
+// stream sends the call and reads its events until the stream ends.
 func (r *run) stream(after int) error {
 	m := r.runner.manager
-	// A back end may run the item and never answer.
+	// The watchdog covers backends that accept the item and never respond.
 	watch := newWatchdog(r.silenceLimit(), func() { r.cancel(errSilent) })
 	defer watch.stop()
 	answer, err := m.config.Client.Do(r.ctx, r.call(after))
@@ -176,14 +181,14 @@
 	return r.read(answer, after, watch)
 }
 
-// observeLoad takes the load that an answer of a back end reports.
+// observeLoad records the load that a backend reported in a response.
 func (m *Manager) observeLoad(backend string, meta upstream.Meta) {
 	if meta.HasLoad {
 		m.config.Fleet.ObserveLoad(backend, meta.Load(), time.Now())
 	}
 }
 
-// read takes events until the stream's end.
+// read adds the events of a response to the item's output until the stream ends.
 func (r *run) read(answer *upstream.Answer, after int, watch *watchdog) error {
 	reader := eventstream.NewReader(answer.Body, r.runner.manager.config.VersionField)
 	version := answer.Meta.Version
@@ -218,28 +223,33 @@
 }
 
 const (
-	// silencePaces is how many usual paces may pass without an event.
+	// silencePaces is the silence limit as a multiple of the usual interval between
+	// events; silenceLeast and silenceMost bound the limit.
 	silencePaces = 12
 	silenceLeast = 700 * time.Millisecond
 	silenceMost  = 4 * time.Second
 )
 
+// silenceLimit returns the time without an event after which the run is canceled.
 func (r *run) silenceLimit() time.Duration {
 	usual := max(r.backend.Pace, usualPace)
 	return min(max(silencePaces*usual, silenceLeast), silenceMost)
 }
 
-// watchdog calls back after a silence. If it is called late, the process did
-// not run for a while and the silence proves nothing: it waits once more.
+// watchdog calls a function if it is not reset within a limit. If its timer fires late,
+// the process was suspended or starved, so that the backend may not have been silent: it
+// then waits for another limit.
 type watchdog struct {
 	limit time.Duration
+	// due is when the timer should fire, in Unix nanoseconds.
 	due   atomic.Int64
 	timer *time.Timer
 }
 
-// lateMost is how late a timer may be in a process that runs.
+// lateMost is the maximum delay of a timer in a process that is scheduled normally.
 const lateMost = 150 * time.Millisecond
 
+// newWatchdog starts a watchdog that calls expired.
 func newWatchdog(limit time.Duration, expired func()) *watchdog {
 	watch := &watchdog{limit: limit}
 	watch.due.Store(time.Now().Add(limit).UnixNano())
@@ -261,7 +271,8 @@
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
-// take adds an event to the item's text.
+// take adds an event to the item's output. It returns an error if the run was canceled
+// or the weight version is not allowed.
 func (r *runner) take(run *run, event eventstream.Event, version int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,14 +292,15 @@
 	return nil
 }
 
-// dropText begins the item's text anew.
+// dropText discards the item's output and starts a new line of checkpoints.
 func (i *itemState) dropText() {
 	i.text = text{}
 	i.line++
 	i.saved, i.savedWhole = 0, false
 }
 
-// settle decides what becomes of an item after a run.
+// settle handles the end of a run: it completes or fails the item, or leaves it waiting
+// for another run.
 func (r *runner) settle(run *run, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -331,8 +343,8 @@
 	}
 }
 
-// withhold takes note of a run that this node kept back itself: that says nothing of the
-// back end, and is no run. The item waits for another. The lock is held.
+// withhold handles a run that this node did not send. It does not count as a run or
+// against the backend, and the item keeps waiting. The lock is held.
 func (r *runner) withhold(run *run, err error) {
 	item := &run.job.items[run.index]
 	item.runs--
@@ -342,13 +354,16 @@
 	})
 }
 
-// pauses for a back end that a run ended badly at.
 const (
+	// refusedPause is how long a backend is suspended after it refused a run.
 	refusedPause = 300 * time.Millisecond
-	stalePause   = 500 * time.Millisecond
+	// stalePause is how long a backend is suspended after it used a weight version that
+	// the item may not use.
+	stalePause = 500 * time.Millisecond
 )
 
-// blame records what a run's end says of its back end.
+// blame suspends the backend of a failed run or counts a failure against it, depending
+// on the error. Cancellations by this node and failures due to the item do neither.
 func (r *runner) blame(run *run, err error) {
 	backends, now := r.manager.config.Fleet, time.Now()
 	switch {
@@ -363,11 +378,13 @@
 	}
 }
 
+// isUpstream reports whether err is or wraps an *upstream.Error.
 func isUpstream(err error) bool {
 	var failure *upstream.Error
 	return errors.As(err, &failure)
 }
 
+// logItem logs the end of a run, as a warning if err is not nil. The lock is held.
 func (r *runner) logItem(run *run, event string, err error) {
 	item := &run.job.items[run.index]
 	fields := eventlog.Fields{
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -11,44 +11,51 @@
 	"github.com/sliplift/sliplift/internal/pause"
 )
 
+// phase is the stage of an item's processing.
 type phase int
 
 const (
 	phaseWaiting phase = iota
 	phaseRunning
-	// phaseScoring: the text is whole and waits for its score.
+	// phaseScoring means that the output is complete and waits for its score.
 	phaseScoring
 	phaseFinished
 )
 
-// itemState is how far an item of an owned job is.
+// itemState is the progress of an item of an owned job.
 type itemState struct {
 	phase phase
 	text  text
-	// work is what the item asks for, whatever its id.
+	// work is the fingerprint of the item's request, which does not depend on its id.
 	work fingerprint.Fingerprint
-	// trial tells that its next run finds out whether the work still ends what runs it.
-	trial    bool
+	// trial is set if the next run tests whether the quarantined request still crashes
+	// its backend.
+	trial bool
+	// failures counts the runs that the backend failed.
 	failures int
-	// backend runs it, while phaseRunning.
+	// backend is the id of the backend of the last run.
 	backend string
-	cancel  context.CancelCauseFunc
+	// cancel cancels the current run, nil if there is none.
+	cancel context.CancelCauseFunc
+	// started is the start of the last run, firstStart that of the first one.
 	started time.Time
-	// waited is the time from the job's opening to its first run.
+	// waited is the time from the opening of the job to the first run.
 	waited     time.Duration
 	runs       int
 	firstStart time.Time
-	// line numbers the texts that were begun anew; saved counts the events of the
-	// present one that are stored.
+	// line counts how often the output was started over; saved is the number of events
+	// of the current line that are stored.
 	line, saved int
-	// savedWhole tells that the whole text is stored.
+	// savedWhole is set if the complete output is stored.
 	savedWhole bool
-	moved      time.Time
-	avoid      string
-	// target is the back end that the item is being moved to, empty if it is not; a slot
-	// is kept free there until the run before has ended.
+	// moved is when the item was last moved to another backend, and avoid the backend
+	// that it was moved away from.
+	moved time.Time
+	avoid string
+	// target is the backend that the item is being moved to, empty if there is none. A
+	// slot is reserved there until the previous run has ended.
 	target string
-	// urgent items, which were moved, go before all that wait.
+	// urgent items were moved and are scheduled before all other waiting items.
 	urgent bool
 	// short items are expected to be among the shorter two thirds of their job.
 	short bool
@@ -57,58 +64,68 @@
 	score scoreState
 }
 
-// ownedJob is a job that this node runs. The runner's lock guards it.
+// ownedJob is a job that this node has open. It is guarded by the runner's lock.
 type ownedJob struct {
 	id string
-	// tenant is on whose behalf the items run; it never changes.
+	// tenant is the tenant for which the items run. It never changes.
 	tenant string
-	// origin is the head as it was when this node began to run the job.
+	// origin is the head at the time when this node opened the job.
 	origin Head
 	spec   *Spec
 	items  []itemState
+	// order holds the item indices in the order in which they are started.
 	order  []int
 	ctx    context.Context
 	cancel context.CancelFunc
-	// ready is set once what the store holds of the job has been read.
-	ready         bool
-	suspended     bool
+	// ready is set once the job has been read from the store.
+	ready bool
+	// suspended is set once no more runs may start.
+	suspended bool
+	// checkpointing is set while a checkpoint of the job is being written.
 	checkpointing bool
 	opened        time.Time
-	// heldSaid is when the log last told why no back end may get items of the job.
+	// heldSaid is when the reason why no backend may receive items of the job was last
+	// logged.
 	heldSaid time.Time
 
 	head      Head
 	revision  int64
 	committed []Result
-	// finished holds results that are not committed yet.
+	// finished holds the results that are not committed yet, in the order of commit.
 	finished []finishedItem
-	wake     chan struct{}
-	// committing holds a token during a commit, so that one is under way at a time;
-	// it is no mutex, since who waits for it may have little time.
+	// wake wakes the commit loop.
+	wake chan struct{}
+	// committing serializes commits: it holds a token during each. It is a channel and
+	// not a mutex so that waiting for it can be canceled.
 	committing chan struct{}
-	// left counts items that are not finished.
+	// left counts the items that are not finished.
 	left   int
 	groups groups
-	// scoring are the items in phaseScoring, by index, the first one first.
+	// scoring holds the indices of the items in phaseScoring in the order in which they
+	// entered it.
 	scoring []int
-	// failures counts failed runs and calls; failuresStored, those that the head
-	// tells of.
+	// failures counts failed runs and scoring calls; failuresStored is its value as of
+	// the stored head.
 	failures, failuresStored int
 }
 
-// active tells whether items of the job may run.
+// active reports whether items of the job may be started.
 func (j *ownedJob) active() bool { return j.ready && !j.suspended && j.left > 0 }
 
 // runner runs the items of the jobs that this node owns.
 type runner struct {
 	manager *Manager
 
-	mu    sync.Mutex
-	jobs  map[string]*ownedJob
-	kept  keptTexts
+	// mu guards the fields below, except for wakes and unsent.
+	mu   sync.Mutex
+	jobs map[string]*ownedJob
+	// kept holds the output of items of closed jobs for reuse.
+	kept keptTexts
+	// wakes triggers scheduling.
 	wakes chan struct{}
-	// seconds bounds second calls of scoring services beside slow ones.
+	// seconds limits hedged scoring calls, which are sent in addition to slow ones.
 	seconds secondCalls
+	// lengths holds statistics of output lengths.
 	lengths lengths
 	unsent  *unsent
 }
@@ -120,6 +137,7 @@
 	}
 }
 
+// kick triggers scheduling.
 func (r *runner) kick() {
 	select {
 	case r.wakes <- struct{}{}:
@@ -127,9 +145,10 @@
 	}
 }
 
-// scheduleEvery is how often the schedule is made anew without an event.
+// scheduleEvery is the interval of scheduling rounds in the absence of wake-ups.
 const scheduleEvery = 100 * time.Millisecond
 
+// run schedules items, writes checkpoints and expires items until ctx is done.
 func (r *runner) run(ctx context.Context) {
 	ticker := time.NewTicker(scheduleEvery)
 	defer ticker.Stop()
@@ -158,7 +177,7 @@
 	}
 }
 
-// idle tells whether the node owns no job; opening one wakes the runner.
+// idle reports whether no job is open. Opening one wakes the runner.
 func (r *runner) idle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,15 +185,14 @@
 }
 
 const (
-	// scheduleShare is the share of the time that schedules may take.
+	// scheduleShare is the maximum share of time spent in scheduling rounds.
 	scheduleShare = 0.2
-	// scheduleQuick is the time of a schedule after which the next may follow at
-	// once.
+	// scheduleQuick is the duration below which the next round may follow at once.
 	scheduleQuick = time.Millisecond
 )
 
-// schedulePause returns how long to wait after a schedule that took some time:
-// with thousands of back ends each item that ends would bring on a long one.
+// schedulePause returns how long to wait after a scheduling round of a given duration.
+// With thousands of backends a round takes long, and every item that ends triggers one.
 func schedulePause(took time.Duration) time.Duration {
 	if took < scheduleQuick {
 		return 0
@@ -182,13 +200,14 @@
 	return min(time.Duration(float64(took)*(1/scheduleShare-1)), scheduleEvery)
 }
 
+// has reports whether a job is open.
 func (r *runner) has(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[id] != nil
 }
 
-// Work returns the number of jobs that this node runs, and of items at back ends.
+// Work returns the number of open jobs and of their items that are running.
 func (m *Manager) Work() (jobs, items int) {
 	m.runner.mu.Lock()
 	defer m.runner.mu.Unlock()
@@ -202,6 +221,7 @@
 	return len(m.runner.jobs), items
 }
 
+// owned returns the ids of the open jobs.
 func (r *runner) owned() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,7 +232,7 @@
 	return ids
 }
 
-// open begins to run a job.
+// open starts running a job unless it is open already.
 func (r *runner) open(ctx context.Context, id string) {
 	state, found := r.manager.snapshot(id)
 	if !found {
@@ -241,7 +261,7 @@
 // loadRetryPause is the pause between attempts to read a job.
 const loadRetryPause = 100 * time.Millisecond
 
-// load reads what the store holds of the job and starts it.
+// load reads the job from the store, starts it, and runs its commit loop.
 func (r *runner) load(job *ownedJob) {
 	for job.ctx.Err() == nil {
 		found, err := r.read(job)
@@ -255,7 +275,8 @@
 	}
 }
 
-// start makes the items ready to run.
+// start initializes the items from the stored job and from kept output, and makes the
+// job ready.
 func (r *runner) start(job *ownedJob, found stored) {
 	spec, committed := found.spec, found.committed
 	listed := listedIDs(committed)
@@ -305,8 +326,7 @@
 	r.kick()
 }
 
-// worksOf returns the fingerprints of a job's items, and those of the calls that score
-// them.
+// worksOf returns the fingerprints of a job's items and of their scoring calls.
 func (r *runner) worksOf(job *ownedJob, spec *Spec) (items, scores []fingerprint.Fingerprint) {
 	items, scores = make([]fingerprint.Fingerprint, len(spec.Items)), make([]fingerprint.Fingerprint, len(spec.Items))
 	for i := range spec.Items {
@@ -319,12 +339,15 @@
 	return items, scores
 }
 
+// singleVersion reports whether each output of a job must come from a single weight
+// version.
 func (r *runner) singleVersion(spec *Spec) bool {
 	route := r.route(spec)
 	return route != nil && route.SingleVersion
 }
 
-// route returns the route of a job in the configuration in force.
+// route returns the route of a job in the configuration in force, nil if there is none.
+// If the named route no longer exists, the job is routed by its first item.
 func (r *runner) route(spec *Spec) *routetable.Route {
 	table := r.manager.config.Routes()
 	if table == nil {
@@ -339,8 +362,8 @@
 	return table.Match(spec.Host, spec.Items[0].Path)
 }
 
-// pool returns the service that a job's items run at, that of the route's first
-// part if there are several.
+// pool returns the service that runs a job's items: that of the route's first split, or
+// empty if there is none.
 func (r *runner) pool(spec *Spec) string {
 	if route := r.route(spec); route != nil && len(route.Splits) > 0 {
 		return route.Splits[0].Service
--- a/internal/gatewaynode/batch/specs.go
+++ b/internal/gatewaynode/batch/specs.go
@@ -9,8 +9,9 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// loadSpec returns a job's specification, from memory or the store. It is kept in memory
-// only where the job may live: elsewhere it is read for the caller that asks this node.
+// loadSpec returns a job's specification from the cache or the store. It caches the
+// specification only if this node is in the job's regions; nodes elsewhere may read
+// it for a caller but must not retain it.
 func (m *Manager) loadSpec(ctx context.Context, job string, head Head) (*Spec, error) {
 	if spec := m.specs.get(job); spec != nil {
 		return spec, nil
@@ -37,14 +38,16 @@
 	return spec, nil
 }
 
-// specCache keeps the specifications that were used last.
+// specCache caches the specifications that were added last. It is safe for
+// concurrent use.
 type specCache struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// order holds the ids of the cached jobs, oldest first.
 	order []string
 	specs map[string]*Spec
 }
 
-// specsKept is the number of specifications kept in memory.
+// specsKept is the capacity of a specCache.
 const specsKept = 6
 
 func newSpecCache() *specCache { return &specCache{specs: make(map[string]*Spec)} }
@@ -55,7 +58,7 @@
 	return c.specs[job]
 }
 
-// retain drops the specifications of jobs that keep does not want.
+// retain removes the specifications of the jobs for which keep returns false.
 func (c *specCache) retain(keep func(job string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// submitRetryPause is the pause between attempts to write a new job.
+	// submitRetryPause is the pause between attempts to write a head or an end row.
 	submitRetryPause = 60 * time.Millisecond
-	// specPartMost bounds a part of a specification, in bytes.
+	// specPartMost is the maximum size of a part of a specification, in bytes.
 	specPartMost = 48 << 10
-	// transactionMost bounds the values of one transaction, in bytes: two thirds
-	// of the store's limit, since they are encoded.
+	// transactionMost is the maximum total size of the values of a transaction, in
+	// bytes: two thirds of the store's limit, to leave room for their encoding.
 	transactionMost = 600 << 10
 )
 
-// Submit stores a job. OK means that it is kept from now on; Unavailable, that
-// it is not and never will be by this call; Uncertain, neither. It ends with ctx
-// at the latest.
+// Submit stores a job. OK means that the job is durable, Unavailable that this call
+// has not stored it and will not, and Uncertain that it may be stored now or later.
+// Submit retries until ctx is done.
 func (m *Manager) Submit(ctx context.Context, spec *Spec) Status {
 	if state, found := m.snapshot(spec.ID); found && (state.known || state.ended) {
 		return takenBy(state, spec.Tenant)
@@ -57,7 +57,8 @@
 	return status
 }
 
-// takenBy returns the status of a submission under the id of a job that is there.
+// takenBy returns the status of a submission whose id is in use: OK for a repeated
+// submission by the same tenant, Taken otherwise.
 func takenBy(state jobState, tenant string) Status {
 	if state.known && state.head.Tenant != tenant {
 		return Taken
@@ -65,7 +66,7 @@
 	return OK
 }
 
-// newHead returns the head of a new job, and OK if there is a node to own it.
+// newHead returns the head of a new job. The status is OK if a node can own the job.
 func (m *Manager) newHead(spec *Spec) (Head, Status) {
 	head := Head{
 		Route: spec.Route,
@@ -89,22 +90,23 @@
 	return head, OK
 }
 
+// ownerKeyOf returns the owner key of a job; see ownerKey.
 func (m *Manager) ownerKeyOf(spec *Spec) string {
 	service := m.runner.pool(spec)
 	slots, models := m.config.Fleet.Slots(service)
 	return ownerKey(service, spec.Model, spec.ID, slots, models)
 }
 
-// placement returns the node that should own jobs of a pool which may live in regions,
-// and whether there is one. Nodes that nothing but an old row speaks for are passed over:
-// a job at one that is gone waits until that is noticed.
+// placement returns the node that should own jobs with the given owner key in the
+// given regions, and whether there is one. It prefers nodes that are proven alive: a
+// job assigned to a node that is gone would wait until that is detected.
 func (m *Manager) placement(pool string, regions place.Regions, now time.Time) (presence.Node, bool) {
 	keepers := presence.KeepersWithin(m.config.Presence.Proven(now), regions)
 	if len(keepers) == 0 && regions.Has(m.self.Region) {
 		return m.self, true
 	}
 	if len(keepers) == 0 {
-		// Soon after its start this node may not have heard of those that are there.
+		// Shortly after the start of this node, no other node may be proven alive yet.
 		keepers = m.config.Presence.Members(now).KeepersWithin(regions)
 	}
 	if len(keepers) == 0 {
@@ -113,15 +115,15 @@
 	return presence.Rank(keepers, pool)[0], true
 }
 
-// writeEarlyParts writes the parts that do not fit the transaction of the head,
-// and returns the rows that do.
+// writeEarlyParts writes the leading parts of a specification that do not fit into
+// the transaction of the head, and returns the rows of the remaining parts.
 func (m *Manager) writeEarlyParts(ctx context.Context, job, nonce string, parts [][]byte) ([]rowstore.Row, Status) {
 	var batch []rowstore.Row
 	size := 0
 	for i, part := range parts {
 		if size+len(part) > transactionMost {
 			if status := m.putRetrying(ctx, rowstore.Transaction{Puts: batch}); status != OK {
-				// Parts alone do nothing: no head names them.
+				// Parts without a head that refers to them have no effect.
 				return nil, Unavailable
 			}
 			batch, size = nil, 0
@@ -132,7 +134,8 @@
 	return batch, OK
 }
 
-// putRetrying commits an unconditional, repeatable transaction.
+// putRetrying commits an unconditional, idempotent transaction, retrying until ctx
+// is done.
 func (m *Manager) putRetrying(ctx context.Context, transaction rowstore.Transaction) Status {
 	uncertain := false
 	for {
@@ -150,7 +153,8 @@
 	}
 }
 
-// create writes the head until the outcome is certain or ctx ends.
+// create commits the transaction that creates a job, retrying until the outcome is
+// certain or ctx is done.
 func (m *Manager) create(ctx context.Context, job string, head Head, transaction rowstore.Transaction) Status {
 	uncertain := false
 	for {
@@ -164,7 +168,8 @@
 		}
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
-			// It is there: by this call, by another node, or it has ended.
+			// The job exists, created by an earlier attempt or by another node, or it was
+			// ended.
 			m.adoptRows(conflict.Rows)
 			state, _ := m.snapshot(job)
 			return takenBy(state, head.Tenant)
@@ -183,26 +188,28 @@
 	}
 }
 
-// Submission is a job with what its caller waits for.
+// Submission is a job with the time limits of the submitting request.
 type Submission struct {
 	Spec *Spec
-	// Left is how long the caller waits; Target, within which time it wants the
-	// answer; Allowed, how long the route lets a request be held.
+	// Left is the time until the caller's deadline, Target the response time that it
+	// aims at, and Allowed the route's limit on how long a request may be held.
 	Left, Target, Allowed time.Duration
 }
 
 const (
-	// holdShare is how much of the caller's time a submission is held while the
-	// store does not take it: another node may be better off. A caller with less
-	// time than the route allows has tried before, and is held for longer.
+	// holdShare is the share of the caller's remaining time for which a submission is
+	// retried while the store is unavailable; the rest is left for trying another
+	// node. A caller with less time than the route allows has tried before, and
+	// holdShareAgain applies.
 	holdShare      = 0.4
 	holdShareAgain = 0.95
-	// comeBackTargets is when a refused caller should come back, in targets.
+	// comeBackTargets is the time after which a refused caller should retry, as a
+	// multiple of Submission.Target.
 	comeBackTargets = 0.5
 )
 
-// Accept submits a job on behalf of a caller, and tells a refused one when to
-// come back.
+// Accept submits a job within the time limits of its request. Unless the status is
+// OK, it also returns the time after which the caller should retry.
 func (m *Manager) Accept(ctx context.Context, submission Submission) (Status, time.Duration) {
 	started := time.Now()
 	share := holdShare
--- a/internal/gatewaynode/batch/unsent.go
+++ b/internal/gatewaynode/batch/unsent.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// unsent counts, by back end, the calls that were given out and wait for a connection:
-// they have not taken their turn at a cold back end yet. It is safe for concurrent use.
+// unsent counts the calls per backend that were scheduled and still wait for a
+// connection. They are not yet counted against the limit on requests to a cold backend.
+// It is safe for concurrent use.
 type unsent struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -14,7 +15,8 @@
 
 func newUnsent() *unsent { return &unsent{counts: make(map[string]int)} }
 
-// begin counts a call to a back end until the function returned is called.
+// begin counts a call to a backend until the returned function is called, which may be
+// called repeatedly.
 func (u *unsent) begin(backend string) func() {
 	u.mu.Lock()
 	u.counts[backend]++
@@ -22,6 +24,7 @@
 	return sync.OnceFunc(func() { u.end(backend) })
 }
 
+// end removes a call from the count of a backend.
 func (u *unsent) end(backend string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -31,7 +34,7 @@
 	}
 }
 
-// snapshot returns the counts as they are now.
+// snapshot returns a copy of the counts by backend id.
 func (u *unsent) snapshot() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
