--- a/internal/gatewaynode/batch/checkpoint.go
+++ b/internal/gatewaynode/batch/checkpoint.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// checkpointEvery is the interval at which the output of unfinished items is stored.
-	checkpointEvery = 500 * time.Millisecond
-	// checkpointAge is the minimum age of an item's first run. Shorter output is
+	// checkpointInterval is the interval at which the output of unfinished items is stored.
+	checkpointInterval = 500 * time.Millisecond
+	// minCheckpointAge is the minimum age of an item's first run. Shorter output is
 	// generated again in the time that a takeover needs.
-	checkpointAge = 500 * time.Millisecond
+	minCheckpointAge = 500 * time.Millisecond
 )
 
-// stretch is a segment of an item's output that is to be stored: the events from to
-// upTo of a line. whole is set if the output ends with it.
-type stretch struct {
+// segment is a range of an item's output that is to be stored: the events of a sequence
+// from index from up to, but not including, upTo. complete is set if the output ends with
+// it.
+type segment struct {
 	item, from, upTo int
-	line             int
-	whole            bool
+	sequence         int
+	complete         bool
 	row              rowstore.Row
 }
 
@@ -39,24 +40,24 @@
 		if !job.active() || job.checkpointing {
 			continue
 		}
-		stretches := r.newText(job, checkpointAge)
-		if len(stretches) == 0 {
+		segments := r.unsavedSegments(job, minCheckpointAge)
+		if len(segments) == 0 {
 			continue
 		}
 		job.checkpointing = true
-		go r.storeAll(ctx, job, stretches)
+		go r.storeCheckpoint(ctx, job, segments)
 	}
 }
 
-// storeAll stores segments. If they filled a transaction, it goes on with the rest of the
-// unsaved output until all is stored or a write fails.
-func (r *runner) storeAll(ctx context.Context, job *ownedJob, stretches []stretch) {
-	for len(stretches) > 0 && r.storeText(ctx, job, stretches) {
-		full := len(stretches) >= r.manager.config.Limits.TransactionRows-1
-		stretches = nil
+// storeCheckpoint stores segments. If they filled a transaction, it goes on with the
+// rest of the unsaved output until all is stored or a write fails.
+func (r *runner) storeCheckpoint(ctx context.Context, job *ownedJob, segments []segment) {
+	for len(segments) > 0 && r.storeSegments(ctx, job, segments) {
+		full := len(segments) >= r.manager.config.Limits.TransactionRows-1
+		segments = nil
 		if full {
 			r.mu.Lock()
-			stretches = r.newText(job, checkpointAge)
+			segments = r.unsavedSegments(job, minCheckpointAge)
 			r.mu.Unlock()
 		}
 	}
@@ -65,34 +66,34 @@
 	r.mu.Unlock()
 }
 
-// newText returns unsaved segments of items whose first run started at least age ago, as
-// many as fit into one transaction. Items with the most unsaved events come first. The
-// lock is held.
-func (r *runner) newText(job *ownedJob, age time.Duration) []stretch {
+// unsavedSegments returns unsaved segments of items whose first run started at least
+// age ago, as many as fit into one transaction. Items with the most unsaved events come
+// first. The lock is held.
+func (r *runner) unsavedSegments(job *ownedJob, age time.Duration) []segment {
 	limits := r.manager.config.Limits
-	var stretches []stretch
+	var segments []segment
 	size := 0
 	for _, i := range job.unsaved(age) {
 		item := &job.items[i]
-		made := len(item.text.events)
-		whole := item.text.complete
-		value := encode(partialRow{Events: item.text.events[item.saved:made], Versions: item.text.versions[item.saved:made], Whole: whole})
+		count := len(item.text.events)
+		complete := item.text.complete
+		value := encode(partialRow{Events: item.text.events[item.saved:count], Versions: item.text.versions[item.saved:count], Whole: complete})
 		if len(value) > limits.RowBytes {
 			continue
 		}
-		if size+len(value) > transactionMost || len(stretches) >= limits.TransactionRows-1 {
+		if size+len(value) > maxTransactionBytes || len(segments) >= limits.TransactionRows-1 {
 			break
 		}
 		size += len(value)
-		id := partialID(job.id, i, fmt.Sprintf("%d.%d", job.head.Epoch, item.line), item.saved)
-		stretches = append(stretches, stretch{item: i, from: item.saved, upTo: made, line: item.line, whole: whole, row: rowstore.Row{RowID: id, Value: value}})
+		id := partialID(job.id, i, fmt.Sprintf("%d.%d", job.head.Epoch, item.sequence), item.saved)
+		segments = append(segments, segment{item: i, from: item.saved, upTo: count, sequence: item.sequence, complete: complete, row: rowstore.Row{RowID: id, Value: value}})
 	}
-	return stretches
+	return segments
 }
 
 // unsaved reports whether the item has output to store. Output of items whose first run
 // started less than age ago is left out, unless it is complete: the scoring call may take
-// long, and complete output must not be generated again.
+// long, and complete output need not be generated again.
 func (i *itemState) unsaved(age time.Duration) bool {
 	switch {
 	case i.phase == phaseFinished:
@@ -113,38 +114,38 @@
 			found = append(found, i)
 		}
 	}
-	lost := func(i int) int { return len(j.items[i].text.events) - j.items[i].saved }
-	slices.SortStableFunc(found, func(a, b int) int { return cmp.Compare(lost(b), lost(a)) })
+	unsavedEvents := func(i int) int { return len(j.items[i].text.events) - j.items[i].saved }
+	slices.SortStableFunc(found, func(a, b int) int { return cmp.Compare(unsavedEvents(b), unsavedEvents(a)) })
 	return found
 }
 
-// storeText writes segments and reports whether it succeeded. It makes only one attempt,
-// since a lost checkpoint costs no more than generating the output again.
-func (r *runner) storeText(ctx context.Context, job *ownedJob, stretches []stretch) bool {
+// storeSegments writes segments and reports whether it succeeded. It makes only one
+// attempt, since a lost checkpoint costs no more than generating the output again.
+func (r *runner) storeSegments(ctx context.Context, job *ownedJob, segments []segment) bool {
 	var transaction rowstore.Transaction
-	for _, part := range stretches {
-		transaction.Puts = append(transaction.Puts, part.row)
+	for _, segment := range segments {
+		transaction.Puts = append(transaction.Puts, segment.row)
 	}
 	if _, err := r.manager.config.Store.Commit(r.manager.within(ctx, job.origin), transaction); err != nil {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, part := range stretches {
-		item := &job.items[part.item]
-		if item.line == part.line && item.saved == part.from {
-			item.saved, item.savedWhole = part.upTo, part.whole
+	for _, segment := range segments {
+		item := &job.items[segment.item]
+		if item.sequence == segment.sequence && item.saved == segment.from {
+			item.saved, item.savedWhole = segment.upTo, segment.complete
 		}
 	}
 	return true
 }
 
-// decodePartials joins the stored segments of each line and returns the longest output of
-// each item, by item index.
+// decodePartials joins the stored segments of each sequence and returns the longest
+// output of each item, by item index.
 func decodePartials(rows []rowstore.Row) map[int]text {
-	lines := make(map[string]text)
+	outputs := make(map[string]text)
 	for _, row := range rows {
-		// Rows of a line are ordered by their first event.
+		// Rows of a sequence are ordered by their first event.
 		_, rest := splitKey(row.Key)
 		parts := strings.Split(rest, "/")
 		if len(parts) != 3 {
@@ -156,20 +157,20 @@
 			continue
 		}
 		key := parts[0] + "/" + parts[1]
-		line := lines[key]
-		if from > len(line.events) {
+		output := outputs[key]
+		if from > len(output.events) {
 			continue
 		}
-		line.events = append(line.events[:from:from], stored.Events...)
-		line.versions = append(line.versions[:from:from], stored.Versions...)
-		line.complete = stored.Whole
-		lines[key] = line
+		output.events = append(output.events[:from:from], stored.Events...)
+		output.versions = append(output.versions[:from:from], stored.Versions...)
+		output.complete = stored.Whole
+		outputs[key] = output
 	}
 	longest := make(map[int]text)
-	for key, line := range lines {
+	for key, output := range outputs {
 		number, _, _ := strings.Cut(key, "/")
-		if index, err := strconv.Atoi(number); err == nil && line.longer(longest[index]) {
-			longest[index] = line
+		if index, err := strconv.Atoi(number); err == nil && output.longer(longest[index]) {
+			longest[index] = output
 		}
 	}
 	return longest
--- a/internal/gatewaynode/batch/checkpoint_test.go
+++ b/internal/gatewaynode/batch/checkpoint_test.go
@@ -31,7 +31,7 @@
 func TestCheckpointOrdersByUnsavedEvents(t *testing.T) {
 	r, job := checkpointed(rowstoretest.New(), 1, 9, 3, 0, 7)
 	var order []int
-	for _, part := range r.newText(job, 0) {
+	for _, part := range r.unsavedSegments(job, 0) {
 		order = append(order, part.item)
 	}
 	if want := []int{1, 4, 2}; !slices.Equal(order, want) {
@@ -42,7 +42,7 @@
 func TestCheckpointStoresAll(t *testing.T) {
 	rows := rowstoretest.New()
 	r, job := checkpointed(rows, 1, 9, 3, 0, 7, 2, 2, 5)
-	r.storeAll(context.Background(), job, r.newText(job, 0))
+	r.storeCheckpoint(context.Background(), job, r.unsavedSegments(job, 0))
 	for i := range job.items {
 		if item := &job.items[i]; item.saved != len(item.text.events) {
 			t.Errorf("item %d: %d of %d events stored", i, item.saved, len(item.text.events))
--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// groupCommit is how long results are collected before a commit.
-	groupCommit = 30 * time.Millisecond
+	// commitDelay is how long results are collected before a commit.
+	commitDelay = 30 * time.Millisecond
 	// holdMost is the maximum time for which results are held back while the caller
 	// waits for more groups, and holdTail the maximum while few groups are missing.
 	holdMost clock.Millis = 400
 	holdTail clock.Millis = 2000
 	// holdSlack is added to the latest expected end of the last item.
 	holdSlack clock.Millis = 200
-	// holdEnd is the maximum time for which results are held back until all items have
+	// maxEndHold is the maximum time for which results are held back until all items have
 	// ended. It covers results that were already held for holdMost when that end came
 	// within holdTail, plus some delay.
-	holdEnd = holdTail + 2*holdMost + holdSlack
-	// readEvery is the time within which a caller that got an answer reads again: half
+	maxEndHold = holdTail + 2*holdMost + holdSlack
+	// readInterval is the time within which a caller that got an answer reads again: half
 	// a second plus the duration of the read and of a commit.
-	readEvery clock.Millis = 650
+	readInterval clock.Millis = 650
 	// dueGrace is how late a result may be read and still count as in time for its
 	// caller.
 	dueGrace clock.Millis = 700
 	// holdBytes is the maximum size of the results that are held back: half a page.
 	holdBytes = pageBytes / 2
-	// commitRetryFirst is the pause after the first failed attempt of a commit. It
-	// doubles with each further one up to commitRetryMost.
-	commitRetryFirst = 50 * time.Millisecond
-	commitRetryMost  = 300 * time.Millisecond
+	// minCommitRetryPause is the pause after the first failed attempt of a commit. It
+	// doubles with each further one up to maxCommitRetryPause.
+	minCommitRetryPause = 50 * time.Millisecond
+	maxCommitRetryPause = 300 * time.Millisecond
 )
 
 // commitLoop commits finished items until the job is closed.
@@ -45,11 +45,11 @@
 		select {
 		case <-job.ctx.Done():
 			return
-		case <-job.wake:
+		case <-job.commitWake:
 		}
-		r.gather(job)
+		r.awaitBatch(job)
 		for outcome := commitDone; outcome != commitNothing; {
-			r.holdBack(job)
+			r.awaitHold(job)
 			if outcome = r.commitOnce(job.ctx, job); outcome == commitLost {
 				return
 			}
@@ -57,8 +57,8 @@
 	}
 }
 
-// holdBack waits until the finished results have to be committed; see holdLeft.
-func (r *runner) holdBack(job *ownedJob) {
+// awaitHold waits until the finished results have to be committed; see holdLeft.
+func (r *runner) awaitHold(job *ownedJob) {
 	for {
 		r.mu.Lock()
 		left := job.holdLeft(r.route(job.spec), &r.lengths, time.Now())
@@ -69,7 +69,7 @@
 		timer := time.NewTimer(left.Duration())
 		select {
 		case <-job.ctx.Done():
-		case <-job.wake:
+		case <-job.commitWake:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -84,16 +84,16 @@
 // each commit wakes every node. Results are therefore held until the groups that the
 // caller waits for are complete, for at most holdMost, or holdTail if few are missing,
 // and not beyond their due time. Once all items are expected to end within holdTail,
-// holdToEnd applies.
+// holdUntilEnd applies.
 //
 // The runner's lock is held.
 func (j *ownedJob) holdLeft(route *routetable.Route, known *lengths, now time.Time) clock.Millis {
 	if len(j.finished) == 0 || j.left == 0 || j.ctx.Err() != nil || j.groups.reached() {
 		return 0
 	}
-	left := j.dueLeft(route, now)
+	left := j.dueRemaining(route, now)
 	if end, sure := j.endWithin(known); sure && end <= holdTail {
-		return min(left, j.holdToEnd(end, now))
+		return min(left, j.holdUntilEnd(end, now))
 	}
 	if j.heldBytes() > holdBytes {
 		return 0
@@ -105,34 +105,34 @@
 	return min(left, j.finished[0].at+most-clock.At(now))
 }
 
-// holdToEnd returns for how much longer results are held back if all items will end
+// holdUntilEnd returns for how much longer results are held back if all items will end
 // within end. A commit shortly before that would answer the caller's read too early and
 // delay the next one. If all results do not fit into one page, the present ones are
 // committed at once while the caller has time for another read before end.
-func (j *ownedJob) holdToEnd(end clock.Millis, now time.Time) clock.Millis {
+func (j *ownedJob) holdUntilEnd(end clock.Millis, now time.Time) clock.Millis {
 	held := j.heldBytes()
-	if held > pageBytes || end > readEvery && held+j.runningBytes() > pageBytes {
+	if held > pageBytes || end > readInterval && held+j.unfinishedBytes() > pageBytes {
 		return 0
 	}
-	return min(end+holdSlack, j.finished[0].at+holdEnd-clock.At(now))
+	return min(end+holdSlack, j.finished[0].at+maxEndHold-clock.At(now))
 }
 
-// dueLeft returns the time until the results are due. It returns holdEnd if there is no
-// due time, or if it has passed by more than dueGrace, when an early commit is of no more
-// use.
-func (j *ownedJob) dueLeft(route *routetable.Route, now time.Time) clock.Millis {
+// dueRemaining returns the time until the results are due. It returns maxEndHold if
+// there is no due time, or if it has passed by more than dueGrace, when an early commit
+// is of no more use.
+func (j *ownedJob) dueRemaining(route *routetable.Route, now time.Time) clock.Millis {
 	if route == nil || route.ResultDue == 0 {
-		return holdEnd
+		return maxEndHold
 	}
 	left := clock.Of(route.ResultDue - j.head.age(now))
 	if left < -dueGrace {
-		return holdEnd
+		return maxEndHold
 	}
 	return left
 }
 
-// runningBytes returns the size of the output of all unfinished items.
-func (j *ownedJob) runningBytes() int {
+// unfinishedBytes returns the size of the output of all unfinished items.
+func (j *ownedJob) unfinishedBytes() int {
 	size := 0
 	for i := range j.items {
 		for _, event := range j.items[i].text.events {
@@ -180,14 +180,14 @@
 	}
 }
 
-// gather waits for further results to join the commit, unless the groups that the caller
-// waits for are complete.
-func (r *runner) gather(job *ownedJob) {
+// awaitBatch waits for further results to join the commit, unless the groups that the
+// caller waits for are complete.
+func (r *runner) awaitBatch(job *ownedJob) {
 	r.mu.Lock()
 	reached := job.groups.wanted > 0 && job.groups.reached()
 	r.mu.Unlock()
 	if !reached {
-		pause.For(job.ctx, groupCommit)
+		pause.For(job.ctx, commitDelay)
 	}
 }
 
@@ -200,8 +200,8 @@
 // commitOnce makes one commit after any commit in progress has ended.
 func (r *runner) commitOnce(ctx context.Context, job *ownedJob) commitOutcome {
 	select {
-	case job.committing <- struct{}{}:
-		defer func() { <-job.committing }()
+	case job.commitToken <- struct{}{}:
+		defer func() { <-job.commitToken }()
 	case <-ctx.Done():
 		return commitLost
 	}
@@ -238,7 +238,7 @@
 		value := job.finished[i].encoded()
 		rows := resultRows(job.id, p.head.Count, value, limits.RowBytes)
 		// One more entry is needed for the head.
-		full := size+len(value) > transactionMost || p.transaction.Entries()+len(rows)+1 > limits.TransactionRows
+		full := size+len(value) > maxTransactionBytes || p.transaction.Entries()+len(rows)+1 > limits.TransactionRows
 		if p.results > 0 && full {
 			break
 		}
@@ -289,7 +289,7 @@
 // attempt under the same condition extends an earlier one, and the head's count tells
 // which of them took effect.
 func (r *runner) commit(ctx context.Context, job *ownedJob) commitOutcome {
-	retry := commitRetryFirst
+	retry := minCommitRetryPause
 	started := time.Now()
 	for attempt := 1; ; attempt++ {
 		p := r.propose(job)
@@ -298,14 +298,14 @@
 		}
 		revision, err := r.manager.config.Store.Commit(r.manager.within(ctx, p.head), p.transaction)
 		if err == nil {
-			r.noteSettled(job, attempt, started)
-			r.committedAs(job, p.head, revision, p.failures)
+			r.logSettled(job, attempt, started)
+			r.recordCommit(job, p.head, revision, p.failures)
 			return commitDone
 		}
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
-			r.noteSettled(job, attempt, started)
-			return r.settleConflict(job, conflict)
+			r.logSettled(job, attempt, started)
+			return r.resolveConflict(job, conflict)
 		}
 		// If the job was closed in the meantime, all its results are committed or it has
 		// another owner, and the failure needs no warning.
@@ -318,13 +318,13 @@
 		if !pause.For(ctx, retry) {
 			return commitLost
 		}
-		retry = min(2*retry, commitRetryMost)
+		retry = min(2*retry, maxCommitRetryPause)
 	}
 }
 
-// noteSettled logs the time until the outcome of a commit was certain, if that took more
+// logSettled logs the time until the outcome of a commit was certain, if that took more
 // than one attempt.
-func (r *runner) noteSettled(job *ownedJob, attempts int, started time.Time) {
+func (r *runner) logSettled(job *ownedJob, attempts int, started time.Time) {
 	if attempts > 1 {
 		r.manager.config.Log.Info(eventlog.CommitSettled, eventlog.Fields{
 			eventlog.Job: job.id, eventlog.Attempts: attempts, eventlog.TookMillis: time.Since(started).Milliseconds(),
@@ -332,16 +332,16 @@
 	}
 }
 
-// settleConflict determines from the stored head whether an earlier attempt took effect.
+// resolveConflict determines from the stored head whether an earlier attempt took effect.
 // A newer head of the same epoch proves it, since only the owner writes heads in its
 // epoch.
-func (r *runner) settleConflict(job *ownedJob, conflict *rowstore.ConflictError) commitOutcome {
-	r.manager.adoptRows(conflict.Rows)
+func (r *runner) resolveConflict(job *ownedJob, conflict *rowstore.ConflictError) commitOutcome {
+	r.manager.applyRows(conflict.Rows)
 	state, found := r.manager.snapshot(job.id)
 	if found && state.head.Epoch == job.head.Epoch && state.headRevision > job.revision {
 		// The stored head may lack the latest failures: keep failuresStored, so that the
 		// next commit writes them.
-		r.committedAs(job, state.head, state.headRevision, job.failuresStored)
+		r.recordCommit(job, state.head, state.headRevision, job.failuresStored)
 		return commitDone
 	}
 	r.manager.config.Log.Warn(eventlog.JobLost, eventlog.Fields{
@@ -351,8 +351,8 @@
 	return commitLost
 }
 
-// committedAs records that the store holds a head and all results up to its count.
-func (r *runner) committedAs(job *ownedJob, head Head, revision int64, failuresStored int) {
+// recordCommit records that the store holds a head and all results up to its count.
+func (r *runner) recordCommit(job *ownedJob, head Head, revision int64, failuresStored int) {
 	r.mu.Lock()
 	added := head.Count - job.head.Count
 	for i := range added {
@@ -362,7 +362,7 @@
 	job.finished = job.finished[added:]
 	left := len(job.items) - head.Count
 	r.mu.Unlock()
-	r.manager.adopt(job.id, head, revision)
+	r.manager.applyHead(job.id, head, revision)
 	if left == 0 && added > 0 {
 		r.manager.config.Log.Info(eventlog.JobComplete, eventlog.Fields{
 			eventlog.Job: job.id, eventlog.Count: head.Count, eventlog.TookMillis: head.age(time.Now()).Milliseconds(),
--- a/internal/gatewaynode/batch/doc.go
+++ b/internal/gatewaynode/batch/doc.go
@@ -11,7 +11,7 @@
 //	jobs/ID/end           present once a caller has ended the job
 //	specs/ID/NONCE/I      part I of the specification
 //	results/ID/POSITION   one result; further parts are under POSITION/PART
-//	partials/ID/ITEM/LINE/FROM
+//	partials/ID/ITEM/SEQUENCE/FROM
 //	                      a segment of an unfinished item's output, starting at
 //	                      event FROM; the last segment tells whether the output
 //	                      is complete
@@ -34,8 +34,8 @@
 //     and later commits of the old owner fail.
 //
 //   - The output of unfinished items is checkpointed, so that the next owner can
-//     resume it. LINE identifies output that one owner generated without starting
-//     over. Only segments of one line are joined, so that the outputs of two owners
+//     resume it. SEQUENCE identifies output that one owner generated without starting
+//     over. Only segments of one sequence are joined, so that the outputs of two owners
 //     are never mixed.
 //
 //   - An item with a scorer is listed as completed only with the score that its
@@ -192,7 +192,8 @@
 	Score string `json:"score,omitempty"`
 }
 
-// partialRow is a segment of an unfinished item's output.
+// partialRow is the value of a row of TablePartials: a segment of an unfinished item's
+// output.
 type partialRow struct {
 	Events   [][]byte `json:"events"`
 	Versions []int64  `json:"versions"`
@@ -253,8 +254,8 @@
 	return rowID(TableSpecs, job, fmt.Sprintf("%s/%06d", nonce, part))
 }
 
-func partialID(job string, item int, line string, from int) rowstore.RowID {
-	return rowID(TablePartials, job, fmt.Sprintf("%08d/%s/%08d", item, line, from))
+func partialID(job string, item int, sequence string, from int) rowstore.RowID {
+	return rowID(TablePartials, job, fmt.Sprintf("%08d/%s/%08d", item, sequence, from))
 }
 
 // splitKey splits a row's key into the job's id and the rest.
--- a/internal/gatewaynode/batch/finish.go
+++ b/internal/gatewaynode/batch/finish.go
@@ -42,7 +42,7 @@
 // wakeCommit wakes the job's commit loop.
 func (j *ownedJob) wakeCommit() {
 	select {
-	case j.wake <- struct{}{}:
+	case j.commitWake <- struct{}{}:
 	default:
 	}
 }
@@ -68,7 +68,7 @@
 
 // suspend cancels a job's runs, prevents new ones, and returns the unsaved output of
 // unfinished items. It returns nil if the job is not open or not ready.
-func (r *runner) suspend(id string) (*ownedJob, []stretch) {
+func (r *runner) suspend(id string) (*ownedJob, []segment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	job := r.jobs[id]
@@ -82,7 +82,7 @@
 		}
 		job.items[i].score.cancelCalls()
 	}
-	return job, r.newText(job, 0)
+	return job, r.unsavedSegments(job, 0)
 }
 
 // committed returns up to limit committed results from memory, starting at position
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -105,14 +105,14 @@
 	runner *runner
 	// confinements are the region restrictions of the configuration in force.
 	confinements confinements
-	// forgotten is the configuration for which forget ran last.
-	forgotten atomic.Pointer[routetable.Table]
+	// lastForget is the configuration for which forget ran last.
+	lastForget atomic.Pointer[routetable.Table]
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
 	stopping bool
-	// base is the context of Run, nil before Run is called.
-	base context.Context
+	// runCtx is the context of Run, nil before Run is called.
+	runCtx context.Context
 	// held counts the pending reads that wait for a result.
 	held int
 }
@@ -187,23 +187,23 @@
 // Kick triggers scheduling.
 func (m *Manager) Kick() { m.runner.kick() }
 
-// reconcileEvery is the interval at which ownership is checked in the absence of
+// reconcileInterval is the interval at which ownership is checked in the absence of
 // changes.
-const reconcileEvery = 200 * time.Millisecond
+const reconcileInterval = 200 * time.Millisecond
 
 // Run maintains the view, takes over orphaned jobs and runs owned jobs until ctx is
 // done.
 func (m *Manager) Run(ctx context.Context) {
 	m.mu.Lock()
-	m.base = ctx
+	m.runCtx = ctx
 	m.mu.Unlock()
 	var group sync.WaitGroup
 	group.Go(func() { m.view.RunOnceNeeded(ctx, m.needed) })
 	group.Go(func() { m.runner.run(ctx) })
 	group.Go(func() {
-		pause.Every(ctx, reconcileEvery, nil, func() {
+		pause.Every(ctx, reconcileInterval, nil, func() {
 			m.reconcile(ctx)
-			m.cleanUp(ctx)
+			m.deleteExpired(ctx)
 		})
 	})
 	group.Wait()
@@ -270,25 +270,25 @@
 		s.orphaned = time.Time{}
 	}
 	s.head, s.headRevision, s.known = head, revision, true
-	s.announce()
+	s.notifyChange()
 }
 
 // end records that the job was ended.
 func (s *jobState) end() {
 	if !s.ended {
 		s.ended = true
-		s.announce()
+		s.notifyChange()
 	}
 }
 
-// announce wakes the goroutines that wait for a change.
-func (s *jobState) announce() {
+// notifyChange wakes the goroutines that wait for a change.
+func (s *jobState) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// adopt applies a head that this node has written or read itself.
-func (m *Manager) adopt(job string, head Head, revision int64) {
+// applyHead applies a head that this node has written or read itself.
+func (m *Manager) applyHead(job string, head Head, revision int64) {
 	m.mu.Lock()
 	m.state(job).setHead(head, revision)
 	m.mu.Unlock()
@@ -305,9 +305,9 @@
 	return *state, true
 }
 
-// adoptRows applies rows of the jobs table that a read or a conflict returned. Rows
+// applyRows applies rows of the jobs table that a read or a conflict returned. Rows
 // with revision 0 do not exist and are skipped.
-func (m *Manager) adoptRows(rows []rowstore.Row) {
+func (m *Manager) applyRows(rows []rowstore.Row) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, row := range rows {
@@ -335,7 +335,7 @@
 	case state.ended:
 		return OK
 	}
-	status = m.putRetrying(ctx, rowstore.Transaction{Puts: []rowstore.Row{{RowID: endID(job), Value: []byte("{}")}}})
+	status = m.commitWithRetry(ctx, rowstore.Transaction{Puts: []rowstore.Row{{RowID: endID(job), Value: []byte("{}")}}})
 	if status != OK {
 		return status
 	}
@@ -350,7 +350,7 @@
 // reconcileNow calls reconcile if Run has been called.
 func (m *Manager) reconcileNow() {
 	m.mu.Lock()
-	ctx := m.base
+	ctx := m.runCtx
 	m.mu.Unlock()
 	if ctx != nil {
 		m.reconcile(ctx)
@@ -375,7 +375,7 @@
 	if len(snapshot.Rows) == 0 {
 		return jobState{}, NotFound
 	}
-	m.adoptRows(snapshot.Rows)
+	m.applyRows(snapshot.Rows)
 	state, found := m.snapshot(job)
 	if !found || !state.known {
 		return jobState{}, NotFound
@@ -383,9 +383,9 @@
 	return state, OK
 }
 
-// lookUpFor is like lookUp but returns NotFound for jobs that the caller may not
+// lookUpForCaller is like lookUp but returns NotFound for jobs that the caller may not
 // access.
-func (m *Manager) lookUpFor(ctx context.Context, caller Caller, job string) (jobState, Status) {
+func (m *Manager) lookUpForCaller(ctx context.Context, caller Caller, job string) (jobState, Status) {
 	state, status := m.lookUp(ctx, job)
 	if status == OK && !caller.sees(state.head) {
 		return jobState{}, NotFound
@@ -395,7 +395,7 @@
 
 // Body returns the request body of an item.
 func (m *Manager) Body(ctx context.Context, caller Caller, job, item string) ([]byte, Status) {
-	state, status := m.lookUpFor(ctx, caller, job)
+	state, status := m.lookUpForCaller(ctx, caller, job)
 	if status != OK {
 		return nil, status
 	}
--- a/internal/gatewaynode/batch/open.go
+++ b/internal/gatewaynode/batch/open.go
@@ -10,8 +10,8 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// stored is the state of a job as read from the store.
-type stored struct {
+// storedJob is the state of a job as read from the store.
+type storedJob struct {
 	spec      *Spec
 	committed []Result
 	// texts are the longest checkpointed outputs of unfinished items, by item index.
@@ -20,8 +20,8 @@
 
 // read reads a job from the store: the specification and the results concurrently,
 // then the checkpointed output of the items without a result.
-func (r *runner) read(job *ownedJob) (stored, error) {
-	var found stored
+func (r *runner) read(job *ownedJob) (storedJob, error) {
+	var found storedJob
 	var specErr, resultErr error
 	var group sync.WaitGroup
 	group.Go(func() { found.spec, specErr = r.manager.loadSpec(job.ctx, job.id, job.head) })
@@ -34,7 +34,7 @@
 		return found, err
 	}
 	var err error
-	found.texts, err = r.readTexts(job, unlisted(found.spec, found.committed))
+	found.texts, err = r.readTexts(job, uncommittedItems(found.spec, found.committed))
 	return found, err
 }
 
@@ -53,8 +53,8 @@
 	return committed, err
 }
 
-// listedIDs returns the set of item ids in results.
-func listedIDs(results []Result) map[string]bool {
+// resultItemIDs returns the set of item ids in results.
+func resultItemIDs(results []Result) map[string]bool {
 	listed := make(map[string]bool, len(results))
 	for _, result := range results {
 		listed[result.ID] = true
@@ -62,9 +62,9 @@
 	return listed
 }
 
-// unlisted returns the indices of the items without a committed result.
-func unlisted(spec *Spec, committed []Result) []int {
-	listed := listedIDs(committed)
+// uncommittedItems returns the indices of the items without a committed result.
+func uncommittedItems(spec *Spec, committed []Result) []int {
+	listed := resultItemIDs(committed)
 	var rest []int
 	for i := range spec.Items {
 		if !listed[spec.Items[i].ID] {
@@ -74,16 +74,16 @@
 	return rest
 }
 
-// textLists is the maximum number of items whose output is read with one list call
+// maxItemReads is the maximum number of items whose output is read with one list call
 // each. Checkpoints of finished items stay in the store, so that listing the whole
 // job for a few remaining items would mostly read rows of no use.
-const textLists = 32
+const maxItemReads = 32
 
 // readTexts reads the checkpointed output of items, by item index.
 func (r *runner) readTexts(job *ownedJob, items []int) (map[int]text, error) {
 	ctx := r.manager.within(job.ctx, job.origin)
-	if len(items) > textLists {
-		return r.readTextsUnder(ctx, job.id, job.id+"/")
+	if len(items) > maxItemReads {
+		return r.readTextsWithPrefix(ctx, job.id, job.id+"/")
 	}
 	found := make(map[int]text)
 	var mu sync.Mutex
@@ -91,7 +91,7 @@
 	var group sync.WaitGroup
 	for _, item := range items {
 		group.Go(func() {
-			texts, err := r.readTextsUnder(ctx, job.id, fmt.Sprintf("%s/%08d/", job.id, item))
+			texts, err := r.readTextsWithPrefix(ctx, job.id, fmt.Sprintf("%s/%08d/", job.id, item))
 			mu.Lock()
 			defer mu.Unlock()
 			failed = errors.Join(failed, err)
@@ -102,8 +102,8 @@
 	return found, failed
 }
 
-// readTextsUnder reads the checkpointed output under a key prefix, by item index.
-func (r *runner) readTextsUnder(ctx context.Context, job, prefix string) (map[int]text, error) {
+// readTextsWithPrefix reads the checkpointed output under a key prefix, by item index.
+func (r *runner) readTextsWithPrefix(ctx context.Context, job, prefix string) (map[int]text, error) {
 	rows, _, err := rowstore.ListAll(ctx, r.manager.config.Store, TablePartials, rowstore.Shard(job), prefix, rowstore.KeyEnd(prefix))
 	if err != nil {
 		return nil, err
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -79,7 +79,7 @@
 		act action
 	}
 	var tasks []task
-	if table := m.config.Routes(); table != m.forgotten.Swap(table) {
+	if table := m.config.Routes(); table != m.lastForget.Swap(table) {
 		m.forget()
 	}
 	m.mu.Lock()
@@ -96,7 +96,7 @@
 			current.outside = !regions.Has(m.self.Region)
 			current.leftLately = now.Sub(state.left) < leaveRest
 			if !current.mine {
-				m.judgeOwner(state, &current, regions, members, now)
+				m.assessOwner(state, &current, regions, members, now)
 			} else if !current.outside {
 				m.noteWaiting(state, regions, false, true)
 			}
@@ -115,10 +115,10 @@
 	}
 }
 
-// judgeOwner fills in the liveness of a job's owner, which is another node, and this
+// assessOwner fills in the liveness of a job's owner, which is another node, and this
 // node's rank among those that may take the job over. If no node may, the keeper that
 // ranks first across all regions logs that the job waits. The lock is held.
-func (m *Manager) judgeOwner(state *jobState, current *situation, regions place.Regions, members func() *presence.Members, now time.Time) {
+func (m *Manager) assessOwner(state *jobState, current *situation, regions place.Regions, members func() *presence.Members, now time.Time) {
 	current.owner = m.config.Presence.Liveness(state.head.Owner, state.head.Incarnation, now)
 	if current.owner != presence.Gone {
 		state.orphaned = time.Time{}
@@ -172,8 +172,8 @@
 	m.reconcile(ctx)
 }
 
-// headAttempts is the maximum number of attempts to replace a head.
-const headAttempts = 5
+// maxHeadAttempts is the maximum number of attempts to replace a head.
+const maxHeadAttempts = 5
 
 // replaceHead writes a head on the condition of a revision. It retries failures and
 // unknown outcomes under the same condition, so that a conflict shows whether an
@@ -184,15 +184,15 @@
 		Puts:       []rowstore.Row{{RowID: headID(id), Value: encode(head)}},
 	}
 	status := Unavailable
-	for range headAttempts {
+	for range maxHeadAttempts {
 		written, err := m.config.Store.Commit(ctx, transaction)
 		if err == nil {
-			m.adopt(id, head, written)
+			m.applyHead(id, head, written)
 			return OK
 		}
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
-			m.adoptRows(conflict.Rows)
+			m.applyRows(conflict.Rows)
 			now, _ := m.snapshot(id)
 			if now.head.Owner == head.Owner && now.head.Incarnation == head.Incarnation && now.head.Epoch == head.Epoch {
 				return OK
@@ -231,12 +231,12 @@
 	if !found || state.ended || state.head.Count >= state.head.Total {
 		return
 	}
-	next, found := m.placement(state.head.Pool, m.regionsOf(state.head), time.Now())
+	next, found := m.chooseOwner(state.head.Pool, m.regionsOf(state.head), time.Now())
 	if found && next.Name == m.self.Name {
 		return
 	}
 	if len(unsaved) > 0 {
-		m.runner.storeText(ctx, job, unsaved)
+		m.runner.storeSegments(ctx, job, unsaved)
 	}
 	if !found {
 		return
@@ -252,20 +252,20 @@
 }
 
 const (
-	// cleanMargin is added to Config.Keep before the rows of a job are deleted.
-	cleanMargin = 10 * time.Second
-	// cleanRows is the maximum number of rows deleted in one transaction.
-	cleanRows = 90
+	// retentionMargin is added to Config.Keep before the rows of a job are deleted.
+	retentionMargin = 10 * time.Second
+	// maxDeletedRows is the maximum number of rows deleted in one transaction.
+	maxDeletedRows = 90
 )
 
-// cleanUp deletes the rows of one expired job. Only the node that ranks first for the
-// job does so.
-func (m *Manager) cleanUp(ctx context.Context) {
+// deleteExpired deletes the rows of one expired job. Only the node that ranks first for
+// the job does so.
+func (m *Manager) deleteExpired(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
 	old := ""
 	for id, state := range m.jobs {
-		if now.Sub(state.seen) > m.config.Keep+cleanMargin && state.known && state.head.age(now) > m.config.Keep+cleanMargin {
+		if now.Sub(state.seen) > m.config.Keep+retentionMargin && state.known && state.head.age(now) > m.config.Keep+retentionMargin {
 			old = id
 			break
 		}
@@ -282,7 +282,7 @@
 	}
 	ctx = m.within(ctx, state.head)
 	for _, table := range []string{TableResults, TableSpecs, TablePartials, TableJobs} {
-		if !m.removeRows(ctx, table, old) {
+		if !m.deleteRows(ctx, table, old) {
 			return
 		}
 	}
@@ -291,14 +291,14 @@
 	m.mu.Unlock()
 }
 
-// removeRows deletes a job's rows from a table and reports whether all were deleted.
-func (m *Manager) removeRows(ctx context.Context, table, job string) bool {
+// deleteRows deletes a job's rows from a table and reports whether all were deleted.
+func (m *Manager) deleteRows(ctx context.Context, table, job string) bool {
 	rows, _, err := rowstore.ListAll(ctx, m.config.Store, table, rowstore.Shard(job), job+"/", rowstore.KeyEnd(job+"/"))
 	if err != nil {
 		return false
 	}
 	for len(rows) > 0 {
-		count := min(cleanRows, len(rows))
+		count := min(maxDeletedRows, len(rows))
 		var transaction rowstore.Transaction
 		for _, row := range rows[:count] {
 			transaction.Deletes = append(transaction.Deletes, row.RowID)
--- a/internal/gatewaynode/batch/ownerkey.go
+++ b/internal/gatewaynode/batch/ownerkey.go
@@ -5,15 +5,15 @@
 	"hash/fnv"
 )
 
-// ownerSlots is the number of concurrent streams that one owner serves. It keeps the
+// slotsPerOwner is the number of concurrent streams that one owner serves. It keeps the
 // event handling of an owner below one CPU core.
-const ownerSlots = 600
+const slotsPerOwner = 600
 
 // ownerKey returns the key that is hashed to choose the owner of a job. A service
 // whose slots one node can serve has a single key. A larger one has a key per model
 // or, if there are too few models, a key per shard of the job ids.
 func ownerKey(service, model, job string, slots, models int) string {
-	shards := (slots + ownerSlots - 1) / ownerSlots
+	shards := (slots + slotsPerOwner - 1) / slotsPerOwner
 	switch {
 	case shards <= 1:
 		return service
@@ -31,7 +31,7 @@
 // OwnerKeys returns all owner keys that jobs of a service may have, in the order of
 // models or shards.
 func OwnerKeys(service string, models []string, slots int) []string {
-	shards := (slots + ownerSlots - 1) / ownerSlots
+	shards := (slots + slotsPerOwner - 1) / slotsPerOwner
 	if shards <= 1 {
 		return []string{service}
 	}
--- a/internal/gatewaynode/batch/results.go
+++ b/internal/gatewaynode/batch/results.go
@@ -33,7 +33,7 @@
 // Results returns results from position after on. If there are none yet, it waits for up
 // to wait until one is committed.
 func (m *Manager) Results(ctx context.Context, caller Caller, job string, after int, wait time.Duration) (Page, Status) {
-	state, status := m.lookUpFor(ctx, caller, job)
+	state, status := m.lookUpForCaller(ctx, caller, job)
 	if status != OK {
 		return Page{}, status
 	}
@@ -56,13 +56,13 @@
 			}
 			continue
 		}
-		state = m.confirmed(ctx, state)
+		state = m.refreshed(ctx, state)
 		break
 	}
 	if state.head.Count <= after {
 		return Page{Total: state.head.Total, Next: after}, OK
 	}
-	m.awaitMore(ctx, job, min(moreMost, time.Until(deadline)))
+	m.awaitMore(ctx, job, min(maxMoreWait, time.Until(deadline)))
 	results, status := m.readResults(m.within(ctx, state.head), job, after)
 	m.config.Log.Info(eventlog.JobRead, eventlog.Fields{
 		eventlog.Job: job, "after": after, eventlog.Count: len(results), "listed": state.head.Count, "total": state.head.Total,
@@ -71,19 +71,19 @@
 	return Page{Total: state.head.Total, Next: after + len(results), Results: results}, status
 }
 
-// freshShare is the maximum age of a view, as a share of Config.Settle, at which it is
-// trusted that there is no newer result. The rest of that time is left for the response
-// to reach the caller.
-const freshShare = 0.5
+// maxViewAgeShare is the maximum age of a view, as a share of Config.Settle, at which
+// it is trusted that there is no newer result. The rest of that time is left for the
+// response to reach the caller.
+const maxViewAgeShare = 0.5
 
-// confirmed returns the state of a job as read from the store, or the given state if it is
+// refreshed returns the state of a job as read from the store, or the given state if it is
 // recent or the store is unavailable. It guards against reporting that there is no result
 // at a position that was already read on another node: views lag behind if many nodes
 // share the read capacity of the store.
-func (m *Manager) confirmed(ctx context.Context, state jobState) jobState {
+func (m *Manager) refreshed(ctx context.Context, state jobState) jobState {
 	status := m.view.Status()
 	owned := state.head.Owner == m.self.Name && m.runner.has(state.id)
-	if owned || status.Healthy && status.Age(time.Now()) <= time.Duration(freshShare*float64(m.config.Settle)) {
+	if owned || status.Healthy && status.Age(time.Now()) <= time.Duration(maxViewAgeShare*float64(m.config.Settle)) {
 		return state
 	}
 	if read, status := m.readHead(ctx, state.id); status == OK {
@@ -92,12 +92,12 @@
 	return state
 }
 
-// moreMost is the maximum time for which a read waits for a commit announced by
+// maxMoreWait is the maximum time for which a read waits for a commit announced by
 // Head.More.
-const moreMost = 300 * time.Millisecond
+const maxMoreWait = 300 * time.Millisecond
 
-// awaitMore waits until Head.More is unset, for up to limit. A caller that gets only a part
-// of the finished results would read the rest no sooner than half a second later.
+// awaitMore waits until Head.More is unset, for up to limit. A caller that gets only a
+// part of the finished results would read the rest no sooner than half a second later.
 func (m *Manager) awaitMore(ctx context.Context, job string, limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for {
@@ -162,10 +162,10 @@
 func decodeResults(rows []rowstore.Row, first int) ([]Result, error) {
 	var results []Result
 	for len(rows) > 0 {
-		if position, part := resultPlace(rows[0].Key); position != first+len(results) || part != 0 {
+		if position, part := parseResultKey(rows[0].Key); position != first+len(results) || part != 0 {
 			return results, errNotConsecutive
 		}
-		count := partsOfFirst(rows)
+		count := leadingParts(rows)
 		var value []byte
 		for _, row := range rows[:count] {
 			value = append(value, row.Value...)
@@ -180,13 +180,13 @@
 	return results, nil
 }
 
-// partsOfFirst returns the number of leading rows that are consecutive parts of one
+// leadingParts returns the number of leading rows that are consecutive parts of one
 // result, which is at least 1.
-func partsOfFirst(rows []rowstore.Row) int {
-	first, _ := resultPlace(rows[0].Key)
+func leadingParts(rows []rowstore.Row) int {
+	first, _ := parseResultKey(rows[0].Key)
 	count := 1
 	for count < len(rows) {
-		if position, part := resultPlace(rows[count].Key); position != first || part != count {
+		if position, part := parseResultKey(rows[count].Key); position != first || part != count {
 			break
 		}
 		count++
@@ -194,9 +194,9 @@
 	return count
 }
 
-// resultPlace parses the position and the part from the key of a result's row. Both are
+// parseResultKey parses the position and the part from the key of a result's row. Both are
 // -1 if the key is malformed.
-func resultPlace(key string) (position, part int) {
+func parseResultKey(key string) (position, part int) {
 	_, rest := splitKey(key)
 	first, further, _ := strings.Cut(rest, "/")
 	position, err := strconv.Atoi(first)
--- a/internal/gatewaynode/batch/results_test.go
+++ b/internal/gatewaynode/batch/results_test.go
@@ -21,19 +21,19 @@
 			m.awaitMore(t.Context(), "j", limit)
 			return time.Since(from)
 		}
-		m.adopt("j", Head{Count: 3}, 1)
-		if got := wait(moreMost); got != 0 {
+		m.applyHead("j", Head{Count: 3}, 1)
+		if got := wait(maxMoreWait); got != 0 {
 			t.Errorf("waited %s without an announced commit, want 0", got)
 		}
-		m.adopt("j", Head{Count: 4, More: true}, 2)
-		if got := wait(moreMost); got != moreMost {
-			t.Errorf("waited %s for a commit that does not follow, want %s", got, moreMost)
+		m.applyHead("j", Head{Count: 4, More: true}, 2)
+		if got := wait(maxMoreWait); got != maxMoreWait {
+			t.Errorf("waited %s for a commit that does not follow, want %s", got, maxMoreWait)
 		}
 		if got := wait(0); got != 0 {
 			t.Errorf("waited %s with a limit of 0, want 0", got)
 		}
-		time.AfterFunc(40*time.Millisecond, func() { m.adopt("j", Head{Count: 9}, 3) })
-		if got := wait(moreMost); got != 40*time.Millisecond {
+		time.AfterFunc(40*time.Millisecond, func() { m.applyHead("j", Head{Count: 9}, 3) })
+		if got := wait(maxMoreWait); got != 40*time.Millisecond {
 			t.Errorf("waited %s, want 40ms, the time of the commit", got)
 		}
 		if time.Since(began) > time.Second {
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -28,13 +28,13 @@
 
 // Failures of a run that are due to its backend.
 var (
-	errGap        = errors.New("event id out of sequence")
-	errOldVersion = errors.New("weight version older than the job's minimum")
-	errMixed      = errors.New("weight version differs from that of the output so far")
-	errNoStream   = errors.New("response is not an event stream")
-	errEmpty      = errors.New("stream ended without events")
-	errUndoable   = errors.New("backend rejected the item as unprocessable")
-	errFailed     = errors.New("backend returned a server error")
+	errEventGap       = errors.New("event id out of sequence")
+	errOldVersion     = errors.New("weight version older than the job's minimum")
+	errVersionChanged = errors.New("weight version differs from that of the output so far")
+	errNoStream       = errors.New("response is not an event stream")
+	errEmptyStream    = errors.New("stream ended without events")
+	errUnprocessable  = errors.New("backend rejected the item as unprocessable")
+	errServerError    = errors.New("backend returned a server error")
 )
 
 // run is one execution of an item on one backend.
@@ -119,7 +119,7 @@
 
 func (r *run) item() *Item { return &r.job.spec.Items[r.index] }
 
-// serve executes the run and passes its outcome to settle. after is the number of
+// serve executes the run and passes its outcome to finishRun. after is the number of
 // events that the item has already.
 func (r *run) serve(after int) {
 	err := r.stream(after)
@@ -130,7 +130,7 @@
 	if err != nil && cause != nil {
 		err = cause
 	}
-	r.runner.settle(r, err)
+	r.runner.finishRun(r, err)
 	r.runner.kick()
 }
 
@@ -172,9 +172,9 @@
 	}
 	switch {
 	case answer.Status == http.StatusUnprocessableEntity:
-		return errUndoable
+		return errUnprocessable
 	case answer.Status >= http.StatusInternalServerError:
-		return errFailed
+		return errServerError
 	case answer.Status != http.StatusOK:
 		return errNoStream
 	}
@@ -198,7 +198,7 @@
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			if count == 0 {
-				return errEmpty
+				return errEmptyStream
 			}
 			return nil
 		}
@@ -210,7 +210,7 @@
 			version = event.Version
 		}
 		if event.HasID && event.ID != int64(count)+1 {
-			return errGap
+			return errEventGap
 		}
 		now := time.Now()
 		if pace, known := arrivals.add(now); known {
@@ -223,17 +223,17 @@
 }
 
 const (
-	// silencePaces is the silence limit as a multiple of the usual interval between
-	// events; silenceLeast and silenceMost bound the limit.
-	silencePaces = 12
-	silenceLeast = 700 * time.Millisecond
-	silenceMost  = 4 * time.Second
+	// silenceIntervals is the silence limit as a multiple of the usual interval between
+	// events; minSilence and maxSilence bound the limit.
+	silenceIntervals = 12
+	minSilence       = 700 * time.Millisecond
+	maxSilence       = 4 * time.Second
 )
 
 // silenceLimit returns the time without an event after which the run is canceled.
 func (r *run) silenceLimit() time.Duration {
 	usual := max(r.backend.Pace, usualPace)
-	return min(max(silencePaces*usual, silenceLeast), silenceMost)
+	return min(max(silenceIntervals*usual, minSilence), maxSilence)
 }
 
 // watchdog calls a function if it is not reset within a limit. If its timer fires late,
@@ -246,8 +246,8 @@
 	timer *time.Timer
 }
 
-// lateMost is the maximum delay of a timer in a process that is scheduled normally.
-const lateMost = 150 * time.Millisecond
+// maxTimerDelay is the maximum delay of a timer in a process that is scheduled normally.
+const maxTimerDelay = 150 * time.Millisecond
 
 // newWatchdog starts a watchdog that calls expired.
 func newWatchdog(limit time.Duration, expired func()) *watchdog {
@@ -255,7 +255,7 @@
 	watch.due.Store(time.Now().Add(limit).UnixNano())
 	watch.timer = time.AfterFunc(limit, func() {
 		late := time.Since(time.Unix(0, watch.due.Load()))
-		if late > lateMost {
+		if late > maxTimerDelay {
 			watch.reset()
 			return
 		}
@@ -284,24 +284,24 @@
 		return errOldVersion
 	}
 	if only := item.text.only(run.route.SingleVersion); only != 0 && version != only {
-		item.dropText()
-		return errMixed
+		item.resetText()
+		return errVersionChanged
 	}
 	item.text.events = append(item.text.events, event.Data)
 	item.text.versions = append(item.text.versions, version)
 	return nil
 }
 
-// dropText discards the item's output and starts a new line of checkpoints.
-func (i *itemState) dropText() {
+// resetText discards the item's output and starts a new checkpoint sequence.
+func (i *itemState) resetText() {
 	i.text = text{}
-	i.line++
+	i.sequence++
 	i.saved, i.savedWhole = 0, false
 }
 
-// settle handles the end of a run: it completes or fails the item, or leaves it waiting
+// finishRun handles the end of a run: it completes or fails the item, or leaves it waiting
 // for another run.
-func (r *runner) settle(run *run, err error) {
+func (r *runner) finishRun(run *run, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	item := &run.job.items[run.index]
@@ -322,11 +322,11 @@
 	}
 	r.blame(run, err)
 	switch {
-	case errors.Is(err, errUndoable):
+	case errors.Is(err, errUnprocessable):
 		r.logItem(run, eventlog.ItemDead, err)
 		r.finish(run.job, run.index, Dead)
 		return
-	case errors.Is(err, errFailed):
+	case errors.Is(err, errServerError):
 		item.failures++
 		run.job.failures++
 		run.job.wakeCommit()
@@ -335,8 +335,8 @@
 			r.finish(run.job, run.index, Dead)
 			return
 		}
-	case errors.Is(err, errEmpty):
-		item.dropText()
+	case errors.Is(err, errEmptyStream):
+		item.resetText()
 	}
 	if run.job.ctx.Err() == nil {
 		r.logItem(run, eventlog.ItemBroken, err)
@@ -357,9 +357,9 @@
 const (
 	// refusedPause is how long a backend is suspended after it refused a run.
 	refusedPause = 300 * time.Millisecond
-	// stalePause is how long a backend is suspended after it used a weight version that
-	// the item may not use.
-	stalePause = 500 * time.Millisecond
+	// staleVersionPause is how long a backend is suspended after it used a weight version
+	// that the item may not use.
+	staleVersionPause = 500 * time.Millisecond
 )
 
 // blame suspends the backend of a failed run or counts a failure against it, depending
@@ -368,9 +368,9 @@
 	backends, now := r.manager.config.Fleet, time.Now()
 	switch {
 	case run.job.ctx.Err() != nil, errors.Is(err, errMoved), errors.Is(err, errStopping), errors.Is(err, errExpired),
-		errors.Is(err, errUndoable), errors.Is(err, errFailed), errors.Is(err, upstream.ErrCut):
-	case errors.Is(err, errOldVersion), errors.Is(err, errMixed):
-		backends.Suspend(run.backend.ID, "weights", now.Add(stalePause))
+		errors.Is(err, errUnprocessable), errors.Is(err, errServerError), errors.Is(err, upstream.ErrCut):
+	case errors.Is(err, errOldVersion), errors.Is(err, errVersionChanged):
+		backends.Suspend(run.backend.ID, "weights", now.Add(staleVersionPause))
 	case upstream.FateOf(err) == upstream.NotRun && isUpstream(err):
 		backends.Suspend(run.backend.ID, "refused", now.Add(refusedPause))
 	default:
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -43,9 +43,9 @@
 	waited     time.Duration
 	runs       int
 	firstStart time.Time
-	// line counts how often the output was started over; saved is the number of events
-	// of the current line that are stored.
-	line, saved int
+	// sequence counts how often the output was started over; saved is the number of events
+	// of the current sequence that are stored.
+	sequence, saved int
 	// savedWhole is set if the complete output is stored.
 	savedWhole bool
 	// moved is when the item was last moved to another backend, and avoid the backend
@@ -93,11 +93,11 @@
 	committed []Result
 	// finished holds the results that are not committed yet, in the order of commit.
 	finished []finishedItem
-	// wake wakes the commit loop.
-	wake chan struct{}
-	// committing serializes commits: it holds a token during each. It is a channel and
+	// commitWake wakes the commit loop.
+	commitWake chan struct{}
+	// commitToken serializes commits: it holds a token during each. It is a channel and
 	// not a mutex so that waiting for it can be canceled.
-	committing chan struct{}
+	commitToken chan struct{}
 	// left counts the items that are not finished.
 	left   int
 	groups groups
@@ -145,14 +145,14 @@
 	}
 }
 
-// scheduleEvery is the interval of scheduling rounds in the absence of wake-ups.
-const scheduleEvery = 100 * time.Millisecond
+// scheduleInterval is the interval of scheduling rounds in the absence of wake-ups.
+const scheduleInterval = 100 * time.Millisecond
 
 // run schedules items, writes checkpoints and expires items until ctx is done.
 func (r *runner) run(ctx context.Context) {
-	ticker := time.NewTicker(scheduleEvery)
+	ticker := time.NewTicker(scheduleInterval)
 	defer ticker.Stop()
-	checkpoints := time.NewTicker(checkpointEvery)
+	checkpoints := time.NewTicker(checkpointInterval)
 	defer checkpoints.Stop()
 	for {
 		ticks, saves := ticker.C, checkpoints.C
@@ -185,19 +185,19 @@
 }
 
 const (
-	// scheduleShare is the maximum share of time spent in scheduling rounds.
-	scheduleShare = 0.2
-	// scheduleQuick is the duration below which the next round may follow at once.
-	scheduleQuick = time.Millisecond
+	// maxScheduleShare is the maximum share of time spent in scheduling rounds.
+	maxScheduleShare = 0.2
+	// shortSchedule is the duration below which the next round may follow at once.
+	shortSchedule = time.Millisecond
 )
 
 // schedulePause returns how long to wait after a scheduling round of a given duration.
 // With thousands of backends a round takes long, and every item that ends triggers one.
 func schedulePause(took time.Duration) time.Duration {
-	if took < scheduleQuick {
+	if took < shortSchedule {
 		return 0
 	}
-	return min(time.Duration(float64(took)*(1/scheduleShare-1)), scheduleEvery)
+	return min(time.Duration(float64(took)*(1/maxScheduleShare-1)), scheduleInterval)
 }
 
 // has reports whether a job is open.
@@ -241,7 +241,7 @@
 	jobCtx, cancel := context.WithCancel(ctx)
 	job := &ownedJob{
 		id: id, tenant: state.head.Tenant, ctx: jobCtx, cancel: cancel, head: state.head, origin: state.head, revision: state.headRevision,
-		wake: make(chan struct{}, 1), opened: time.Now(), committing: make(chan struct{}, 1),
+		commitWake: make(chan struct{}, 1), opened: time.Now(), commitToken: make(chan struct{}, 1),
 	}
 	r.mu.Lock()
 	if r.jobs[id] != nil {
@@ -277,11 +277,11 @@
 
 // start initializes the items from the stored job and from kept output, and makes the
 // job ready.
-func (r *runner) start(job *ownedJob, found stored) {
+func (r *runner) start(job *ownedJob, found storedJob) {
 	spec, committed := found.spec, found.committed
-	listed := listedIDs(committed)
+	listed := resultItemIDs(committed)
 	singleVersion := r.singleVersion(spec)
-	works, scoreWorks := r.worksOf(job, spec)
+	works, scoreWorks := r.fingerprintsOf(job, spec)
 	r.mu.Lock()
 	job.spec, job.committed = spec, committed
 	job.items = make([]itemState, len(spec.Items))
@@ -326,8 +326,8 @@
 	r.kick()
 }
 
-// worksOf returns the fingerprints of a job's items and of their scoring calls.
-func (r *runner) worksOf(job *ownedJob, spec *Spec) (items, scores []fingerprint.Fingerprint) {
+// fingerprintsOf returns the fingerprints of a job's items and of their scoring calls.
+func (r *runner) fingerprintsOf(job *ownedJob, spec *Spec) (items, scores []fingerprint.Fingerprint) {
 	items, scores = make([]fingerprint.Fingerprint, len(spec.Items)), make([]fingerprint.Fingerprint, len(spec.Items))
 	for i := range spec.Items {
 		item := &spec.Items[i]
--- a/internal/gatewaynode/batch/specs.go
+++ b/internal/gatewaynode/batch/specs.go
@@ -47,8 +47,8 @@
 	specs map[string]*Spec
 }
 
-// specsKept is the capacity of a specCache.
-const specsKept = 6
+// maxCachedSpecs is the capacity of a specCache.
+const maxCachedSpecs = 6
 
 func newSpecCache() *specCache { return &specCache{specs: make(map[string]*Spec)} }
 
@@ -78,7 +78,7 @@
 		c.order = append(c.order, job)
 	}
 	c.specs[job] = spec
-	for len(c.order) > specsKept {
+	for len(c.order) > maxCachedSpecs {
 		delete(c.specs, c.order[0])
 		c.order = c.order[1:]
 	}
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -17,11 +17,11 @@
 const (
 	// submitRetryPause is the pause between attempts to write a head or an end row.
 	submitRetryPause = 60 * time.Millisecond
-	// specPartMost is the maximum size of a part of a specification, in bytes.
-	specPartMost = 48 << 10
-	// transactionMost is the maximum total size of the values of a transaction, in
+	// maxSpecPartBytes is the maximum size of a part of a specification, in bytes.
+	maxSpecPartBytes = 48 << 10
+	// maxTransactionBytes is the maximum total size of the values of a transaction, in
 	// bytes: two thirds of the store's limit, to leave room for their encoding.
-	transactionMost = 600 << 10
+	maxTransactionBytes = 600 << 10
 )
 
 // Submit stores a job. OK means that the job is durable, Unavailable that this call
@@ -29,7 +29,7 @@
 // Submit retries until ctx is done.
 func (m *Manager) Submit(ctx context.Context, spec *Spec) Status {
 	if state, found := m.snapshot(spec.ID); found && (state.known || state.ended) {
-		return takenBy(state, spec.Tenant)
+		return duplicateStatus(state, spec.Tenant)
 	}
 	head, status := m.newHead(spec)
 	if status != OK {
@@ -37,9 +37,9 @@
 	}
 	ctx = m.within(ctx, head)
 	content := encode(spec)
-	parts := splitParts(content, min(specPartMost, m.config.Limits.RowBytes))
+	parts := splitParts(content, min(maxSpecPartBytes, m.config.Limits.RowBytes))
 	head.Parts = len(parts)
-	last, status := m.writeEarlyParts(ctx, spec.ID, head.Nonce, parts)
+	last, status := m.writeLeadingParts(ctx, spec.ID, head.Nonce, parts)
 	if status != OK {
 		return status
 	}
@@ -57,9 +57,9 @@
 	return status
 }
 
-// takenBy returns the status of a submission whose id is in use: OK for a repeated
+// duplicateStatus returns the status of a submission whose id is in use: OK for a repeated
 // submission by the same tenant, Taken otherwise.
-func takenBy(state jobState, tenant string) Status {
+func duplicateStatus(state jobState, tenant string) Status {
 	if state.known && state.head.Tenant != tenant {
 		return Taken
 	}
@@ -82,7 +82,7 @@
 		return head, NoRegion
 	}
 	head.Regions = regions.Names()
-	owner, found := m.placement(head.Pool, regions, time.Now())
+	owner, found := m.chooseOwner(head.Pool, regions, time.Now())
 	if !found {
 		return head, NoNode
 	}
@@ -97,10 +97,10 @@
 	return ownerKey(service, spec.Model, spec.ID, slots, models)
 }
 
-// placement returns the node that should own jobs with the given owner key in the
+// chooseOwner returns the node that should own jobs with the given owner key in the
 // given regions, and whether there is one. It prefers nodes that are proven alive: a
 // job assigned to a node that is gone would wait until that is detected.
-func (m *Manager) placement(pool string, regions place.Regions, now time.Time) (presence.Node, bool) {
+func (m *Manager) chooseOwner(pool string, regions place.Regions, now time.Time) (presence.Node, bool) {
 	keepers := presence.KeepersWithin(m.config.Presence.Proven(now), regions)
 	if len(keepers) == 0 && regions.Has(m.self.Region) {
 		return m.self, true
@@ -115,14 +115,14 @@
 	return presence.Rank(keepers, pool)[0], true
 }
 
-// writeEarlyParts writes the leading parts of a specification that do not fit into
+// writeLeadingParts writes the leading parts of a specification that do not fit into
 // the transaction of the head, and returns the rows of the remaining parts.
-func (m *Manager) writeEarlyParts(ctx context.Context, job, nonce string, parts [][]byte) ([]rowstore.Row, Status) {
+func (m *Manager) writeLeadingParts(ctx context.Context, job, nonce string, parts [][]byte) ([]rowstore.Row, Status) {
 	var batch []rowstore.Row
 	size := 0
 	for i, part := range parts {
-		if size+len(part) > transactionMost {
-			if status := m.putRetrying(ctx, rowstore.Transaction{Puts: batch}); status != OK {
+		if size+len(part) > maxTransactionBytes {
+			if status := m.commitWithRetry(ctx, rowstore.Transaction{Puts: batch}); status != OK {
 				// Parts without a head that refers to them have no effect.
 				return nil, Unavailable
 			}
@@ -134,9 +134,9 @@
 	return batch, OK
 }
 
-// putRetrying commits an unconditional, idempotent transaction, retrying until ctx
+// commitWithRetry commits an unconditional, idempotent transaction, retrying until ctx
 // is done.
-func (m *Manager) putRetrying(ctx context.Context, transaction rowstore.Transaction) Status {
+func (m *Manager) commitWithRetry(ctx context.Context, transaction rowstore.Transaction) Status {
 	uncertain := false
 	for {
 		_, err := m.config.Store.Commit(ctx, transaction)
@@ -160,7 +160,7 @@
 	for {
 		revision, err := m.config.Store.Commit(ctx, transaction)
 		if err == nil {
-			m.adopt(job, head, revision)
+			m.applyHead(job, head, revision)
 			m.config.Log.Info(eventlog.JobAccepted, eventlog.Fields{
 				eventlog.Job: job, eventlog.Owner: head.Owner, eventlog.Model: head.Model, eventlog.Count: head.Total,
 			})
@@ -170,9 +170,9 @@
 		if errors.As(err, &conflict) {
 			// The job exists, created by an earlier attempt or by another node, or it was
 			// ended.
-			m.adoptRows(conflict.Rows)
+			m.applyRows(conflict.Rows)
 			state, _ := m.snapshot(job)
-			return takenBy(state, head.Tenant)
+			return duplicateStatus(state, head.Tenant)
 		}
 		first := !uncertain
 		uncertain = uncertain || errors.Is(err, rowstore.ErrUnknown)
@@ -197,24 +197,24 @@
 }
 
 const (
-	// holdShare is the share of the caller's remaining time for which a submission is
+	// submitShare is the share of the caller's remaining time for which a submission is
 	// retried while the store is unavailable; the rest is left for trying another
 	// node. A caller with less time than the route allows has tried before, and
-	// holdShareAgain applies.
-	holdShare      = 0.4
-	holdShareAgain = 0.95
-	// comeBackTargets is the time after which a refused caller should retry, as a
+	// resubmitShare applies.
+	submitShare   = 0.4
+	resubmitShare = 0.95
+	// retryAfterTargets is the time after which a refused caller should retry, as a
 	// multiple of Submission.Target.
-	comeBackTargets = 0.5
+	retryAfterTargets = 0.5
 )
 
 // Accept submits a job within the time limits of its request. Unless the status is
 // OK, it also returns the time after which the caller should retry.
 func (m *Manager) Accept(ctx context.Context, submission Submission) (Status, time.Duration) {
 	started := time.Now()
-	share := holdShare
+	share := submitShare
 	if submission.Left < submission.Allowed {
-		share = holdShareAgain
+		share = resubmitShare
 	}
 	bounded, cancel := context.WithTimeout(ctx, time.Duration(share*float64(submission.Left)))
 	defer cancel()
@@ -230,5 +230,5 @@
 		eventlog.Job: submission.Spec.ID, eventlog.TookMillis: time.Since(started).Milliseconds(), "store": m.view.Status().Healthy,
 		eventlog.Cause: status.String(), eventlog.Route: submission.Spec.Route, eventlog.Tenant: submission.Spec.Tenant,
 	})
-	return status, time.Duration(comeBackTargets * float64(submission.Target))
+	return status, time.Duration(retryAfterTargets * float64(submission.Target))
 }
