--- a/internal/gatewaynode/batch/doc.go
+++ b/internal/gatewaynode/batch/doc.go
@@ -127,8 +127,8 @@
 	Anyone bool
 }
 
-// sees reports whether the caller may access the job with the given head.
-func (c Caller) sees(head Head) bool {
+// mayAccess reports whether the caller may access the job with the given head.
+func (c Caller) mayAccess(head Head) bool {
 	return c.Anyone || head.Tenant == "" || head.Tenant == c.Tenant
 }
 
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -113,8 +113,8 @@
 	stopping bool
 	// runCtx is the context of Run, nil before Run is called.
 	runCtx context.Context
-	// held counts the pending reads that wait for a result.
-	held int
+	// heldReads counts the pending reads that wait for a result.
+	heldReads int
 }
 
 // NewManager returns a Manager, which does nothing until Run is called.
@@ -132,7 +132,7 @@
 		Partitions: rowstore.AllShards(),
 		Wait:       config.Pacing.IdleWait,
 		Rest:       manager.rest,
-		Pace:       func() time.Duration { return config.Pacing.InterestPace(manager.interested()) },
+		Pace:       func() time.Duration { return config.Pacing.InterestPace(manager.usesHeads()) },
 		Apply:      manager.apply,
 	})
 	return manager
@@ -141,11 +141,11 @@
 // OwnsJobs reports whether this node has jobs open.
 func (m *Manager) OwnsJobs() bool { return !m.runner.idle() }
 
-// interested reports whether this node needs up-to-date heads: it runs jobs, callers
+// usesHeads reports whether this node needs up-to-date heads: it runs jobs, callers
 // wait for results, or Config.Orders returns true.
-func (m *Manager) interested() bool {
+func (m *Manager) usesHeads() bool {
 	m.mu.Lock()
-	held := m.held
+	held := m.heldReads
 	m.mu.Unlock()
 	return held > 0 || m.OwnsJobs() || m.config.Orders != nil && m.config.Orders()
 }
@@ -153,30 +153,30 @@
 // Known reports whether the heads of all jobs have been read once.
 func (m *Manager) Known() bool { return m.view.Status().Loaded }
 
-// needed reports whether this node uses the heads or may take over jobs.
-func (m *Manager) needed() bool {
-	return m.interested() || m.Keeps(time.Now())
+// needsHeads reports whether this node uses the heads or may take over jobs.
+func (m *Manager) needsHeads() bool {
+	return m.usesHeads() || m.Keeps(time.Now())
 }
 
 // rest returns the maximum delay before the view retries a failed read. It is 0 for
 // nodes that run jobs or may take over those of others, which must not fall behind.
 func (m *Manager) rest() time.Duration {
-	if m.needed() {
+	if m.needsHeads() {
 		return 0
 	}
 	return m.config.Pacing.IdleRest()
 }
 
-// hold registers a pending read, which makes the view refresh more often. The returned
+// trackRead registers a pending read, which makes the view refresh more often. The returned
 // function ends the registration.
-func (m *Manager) hold() func() {
+func (m *Manager) trackRead() func() {
 	m.mu.Lock()
-	m.held++
+	m.heldReads++
 	m.mu.Unlock()
 	m.view.Kick()
 	return func() {
 		m.mu.Lock()
-		m.held--
+		m.heldReads--
 		m.mu.Unlock()
 	}
 }
@@ -198,7 +198,7 @@
 	m.runCtx = ctx
 	m.mu.Unlock()
 	var group sync.WaitGroup
-	group.Go(func() { m.view.RunOnceNeeded(ctx, m.needed) })
+	group.Go(func() { m.view.RunOnceNeeded(ctx, m.needsHeads) })
 	group.Go(func() { m.runner.run(ctx) })
 	group.Go(func() {
 		pause.Every(ctx, reconcileInterval, nil, func() {
@@ -330,7 +330,7 @@
 	switch {
 	case status == Unavailable:
 		return status
-	case status == OK && !caller.sees(state.head):
+	case status == OK && !caller.mayAccess(state.head):
 		return NotFound
 	case state.ended:
 		return OK
@@ -387,7 +387,7 @@
 // access.
 func (m *Manager) lookUpForCaller(ctx context.Context, caller Caller, job string) (jobState, Status) {
 	state, status := m.lookUp(ctx, job)
-	if status == OK && !caller.sees(state.head) {
+	if status == OK && !caller.mayAccess(state.head) {
 		return jobState{}, NotFound
 	}
 	return state, status
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -129,10 +129,10 @@
 		state.orphaned = now
 	}
 	current.orphanedFor = now.Sub(state.orphaned)
-	able := presence.Rank(members().KeepersWithin(regions), state.head.Pool)
-	current.rank = presence.Place(able, m.self.Name)
+	candidates := presence.Rank(members().KeepersWithin(regions), state.head.Pool)
+	current.rank = presence.Place(candidates, m.self.Name)
 	first := presence.Place(presence.Rank(members().KeepersWithin(place.Regions{}), state.head.Pool), m.self.Name) == 0
-	m.noteWaiting(state, regions, len(able) == 0, first)
+	m.noteWaiting(state, regions, len(candidates) == 0, first)
 }
 
 // act performs an action on a job.
@@ -193,8 +193,8 @@
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
 			m.applyRows(conflict.Rows)
-			now, _ := m.snapshot(id)
-			if now.head.Owner == head.Owner && now.head.Incarnation == head.Incarnation && now.head.Epoch == head.Epoch {
+			current, _ := m.snapshot(id)
+			if current.head.Owner == head.Owner && current.head.Incarnation == head.Incarnation && current.head.Epoch == head.Epoch {
 				return OK
 			}
 			return NotFound
@@ -263,31 +263,31 @@
 func (m *Manager) deleteExpired(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
-	old := ""
+	expired := ""
 	for id, state := range m.jobs {
 		if now.Sub(state.seen) > m.config.Keep+retentionMargin && state.known && state.head.age(now) > m.config.Keep+retentionMargin {
-			old = id
+			expired = id
 			break
 		}
 	}
 	m.mu.Unlock()
-	if old == "" {
+	if expired == "" {
 		return
 	}
 	// Deleting reads the rows first, so only nodes in the job's regions may do it.
-	state, _ := m.snapshot(old)
+	state, _ := m.snapshot(expired)
 	keepers := m.config.Presence.Members(now).KeepersWithin(m.regionsOf(state.head))
-	if presence.Place(presence.Rank(keepers, old), m.self.Name) != 0 {
+	if presence.Place(presence.Rank(keepers, expired), m.self.Name) != 0 {
 		return
 	}
 	ctx = m.within(ctx, state.head)
 	for _, table := range []string{TableResults, TableSpecs, TablePartials, TableJobs} {
-		if !m.deleteRows(ctx, table, old) {
+		if !m.deleteRows(ctx, table, expired) {
 			return
 		}
 	}
 	m.mu.Lock()
-	delete(m.jobs, old)
+	delete(m.jobs, expired)
 	m.mu.Unlock()
 }
 
--- a/internal/gatewaynode/batch/results.go
+++ b/internal/gatewaynode/batch/results.go
@@ -39,7 +39,7 @@
 	}
 	deadline := time.Now().Add(wait)
 	if state.head.Count <= after && wait > 0 {
-		defer m.hold()()
+		defer m.trackRead()()
 	}
 	if state.head.Count < after {
 		// The caller has read results on another node that are not visible here yet.
@@ -144,9 +144,9 @@
 }
 
 // resultRows returns the rows of the result at a position: its encoding, split into values
-// of at most most bytes.
-func resultRows(job string, position int, encoding []byte, most int) []rowstore.Row {
-	parts := splitParts(encoding, most)
+// of at most maxBytes bytes.
+func resultRows(job string, position int, encoding []byte, maxBytes int) []rowstore.Row {
+	parts := splitParts(encoding, maxBytes)
 	rows := make([]rowstore.Row, len(parts))
 	for i, part := range parts {
 		rows[i] = rowstore.Row{RowID: resultPartID(job, position, i), Value: part}
@@ -198,15 +198,15 @@
 // -1 if the key is malformed.
 func parseResultKey(key string) (position, part int) {
 	_, rest := splitKey(key)
-	first, further, _ := strings.Cut(rest, "/")
-	position, err := strconv.Atoi(first)
+	positionText, partText, _ := strings.Cut(rest, "/")
+	position, err := strconv.Atoi(positionText)
 	if err != nil {
 		return -1, -1
 	}
-	if further == "" {
+	if partText == "" {
 		return position, 0
 	}
-	if part, err = strconv.Atoi(further); err != nil {
+	if part, err = strconv.Atoi(partText); err != nil {
 		return -1, -1
 	}
 	return position, part
--- a/internal/gatewaynode/batch/results_test.go
+++ b/internal/gatewaynode/batch/results_test.go
@@ -43,25 +43,25 @@
 }
 
 func TestResultSplitAcrossRows(t *testing.T) {
-	const most = 64
+	const maxRowBytes = 64
 	long := Result{ID: "b", State: Completed, Text: strings.Repeat("text", 200)}
 	short := Result{ID: "a", State: Dead}
 	var rows []rowstore.Row
 	for i, result := range []Result{short, long, short} {
-		rows = append(rows, resultRows("job", 7+i, encode(result), most)...)
+		rows = append(rows, resultRows("job", 7+i, encode(result), maxRowBytes)...)
 	}
 	for i, row := range rows {
-		if len(row.Value) > most {
-			t.Fatalf("row %d has %d bytes, want at most %d", i, len(row.Value), most)
+		if len(row.Value) > maxRowBytes {
+			t.Fatalf("row %d has %d bytes, want at most %d", i, len(row.Value), maxRowBytes)
 		}
 	}
-	keys := func(a, b rowstore.Row) int { return strings.Compare(a.Key, b.Key) }
-	if !slices.IsSortedFunc(rows, keys) {
+	byKey := func(a, b rowstore.Row) int { return strings.Compare(a.Key, b.Key) }
+	if !slices.IsSortedFunc(rows, byKey) {
 		t.Fatal("rows are not sorted by key")
 	}
-	whole, err := decodeResults(rows, 7)
-	if err != nil || len(whole) != 3 || whole[1].Text != long.Text {
-		t.Fatalf("decodeResults returned %d results, error %v; want 3 unchanged results", len(whole), err)
+	results, err := decodeResults(rows, 7)
+	if err != nil || len(results) != 3 || results[1].Text != long.Text {
+		t.Fatalf("decodeResults returned %d results, error %v; want 3 unchanged results", len(results), err)
 	}
 	for cut := range rows {
 		found, err := decodeResults(rows[:cut], 7)
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -116,13 +116,13 @@
 type runner struct {
 	manager *Manager
 
-	// mu guards the fields below, except for wakes and unsent.
+	// mu guards the fields below, except for scheduleWake and unsent.
 	mu   sync.Mutex
 	jobs map[string]*ownedJob
 	// kept holds the output of items of closed jobs for reuse.
 	kept keptTexts
-	// wakes triggers scheduling.
-	wakes chan struct{}
+	// scheduleWake triggers scheduling.
+	scheduleWake chan struct{}
 	// seconds limits hedged scoring calls, which are sent in addition to slow ones.
 	seconds secondCalls
 	// lengths holds statistics of output lengths.
@@ -132,7 +132,7 @@
 
 func newRunner(manager *Manager) *runner {
 	return &runner{
-		manager: manager, jobs: make(map[string]*ownedJob), kept: newKeptTexts(), wakes: make(chan struct{}, 1),
+		manager: manager, jobs: make(map[string]*ownedJob), kept: newKeptTexts(), scheduleWake: make(chan struct{}, 1),
 		unsent: newUnsent(),
 	}
 }
@@ -140,7 +140,7 @@
 // kick triggers scheduling.
 func (r *runner) kick() {
 	select {
-	case r.wakes <- struct{}{}:
+	case r.scheduleWake <- struct{}{}:
 	default:
 	}
 }
@@ -167,7 +167,7 @@
 			continue
 		case <-ticks:
 			r.expire()
-		case <-r.wakes:
+		case <-r.scheduleWake:
 		}
 		began := time.Now()
 		r.schedule()
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -39,13 +39,13 @@
 	content := encode(spec)
 	parts := splitParts(content, min(maxSpecPartBytes, m.config.Limits.RowBytes))
 	head.Parts = len(parts)
-	last, status := m.writeLeadingParts(ctx, spec.ID, head.Nonce, parts)
+	remaining, status := m.writeLeadingParts(ctx, spec.ID, head.Nonce, parts)
 	if status != OK {
 		return status
 	}
 	transaction := rowstore.Transaction{
 		Conditions: []rowstore.Condition{{RowID: headID(spec.ID)}, {RowID: endID(spec.ID)}},
-		Puts:       append(last, rowstore.Row{RowID: headID(spec.ID), Value: encode(head)}),
+		Puts:       append(remaining, rowstore.Row{RowID: headID(spec.ID), Value: encode(head)}),
 	}
 	status = m.create(ctx, spec.ID, head, transaction)
 	if status == OK {
