--- a/internal/gatewaynode/place/distance.go
+++ b/internal/gatewaynode/place/distance.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Distance is the time of a round trip between two places, in milliseconds.
+// Distance is the round-trip time between two places in milliseconds.
 type Distance float64
 
-// DistanceOf returns the distance of a round trip that took so long.
+// DistanceOf converts a round-trip time to a Distance.
 func DistanceOf(d time.Duration) Distance { return Distance(float64(d) / float64(time.Millisecond)) }
 
-// Duration returns the distance as the standard library has it.
+// Duration returns d as a time.Duration.
 func (d Distance) Duration() time.Duration {
 	return time.Duration(float64(d) * float64(time.Millisecond))
 }
 
-// What is taken for a round trip where none was measured of late. Zones of a region are
-// a millisecond or two apart, regions some tens.
+// Distances assumed where no recent measurement exists.
 const (
 	priorZone   Distance = 0
 	priorRegion Distance = 2
 	priorFar    Distance = 20
 )
 
-// Prior returns the distance between two places that nothing was measured of.
+// Prior returns the distance assumed between two places without a measurement. An unknown
+// region counts as the same region.
 func Prior(a, b Place) Distance {
 	switch {
 	case a.Zone == b.Zone:
@@ -36,16 +36,17 @@
 }
 
 const (
-	// measuredMost is how long a measured distance counts: links change, and a zone that
-	// nothing was sent to may have come nearer.
+	// measuredMost is how long a measurement is used. Afterwards the default applies again,
+	// so that a zone that looked distant once is tried again.
 	measuredMost = time.Minute
-	// measuredRise is the weight of a time that is longer than what is known: a connect
-	// takes longer at a back end that is busy, never less than the round trip.
+	// measuredRise is the weight of a measurement above the current estimate. A busy back
+	// end accepts connections late, so that a connect time is an upper bound of the round
+	// trip; lower measurements replace the estimate at once.
 	measuredRise = 0.1
 )
 
-// Distances learns how far the zones are from the place of a node, from connects that
-// are made anyway. It is safe for concurrent use.
+// Distances estimates the distance from a node to each zone from the connect times of its
+// ordinary traffic. It is safe for concurrent use.
 type Distances struct {
 	own   Place
 	zones Map
@@ -59,13 +60,13 @@
 	at       time.Time
 }
 
-// NewDistances returns the distances from a node's place, of which nothing is measured.
+// NewDistances returns Distances for a node at own, without measurements.
 func NewDistances(own Place, zones Map) *Distances {
 	return &Distances{own: own, zones: zones, measured: make(map[string]measurement)}
 }
 
-// Observe takes the time of a round trip to a zone that the map knows or the node is in;
-// zones that are not known are not kept apart.
+// Observe records a round-trip time to a zone. It ignores zones that the map does not
+// contain.
 func (d *Distances) Observe(zone string, took time.Duration, now time.Time) {
 	if _, known := d.zones.regions[zone]; !known {
 		return
@@ -80,7 +81,7 @@
 	d.measured[zone] = measurement{distance: distance, at: now}
 }
 
-// View returns the distances as of a moment.
+// View returns a snapshot of the distances without expired measurements.
 func (d *Distances) View(now time.Time) View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,15 +94,16 @@
 	return view
 }
 
-// View is how far zones are from a node, as of one moment. The zero View knows none.
+// View is a snapshot of the distances from a node to the zones. The zero View contains no
+// measurements.
 type View struct {
 	own      Place
 	zones    Map
 	measured map[string]Distance
 }
 
-// To returns the distance to a zone. The own zone counts as no distance: what a connect
-// there takes is the work of both ends.
+// To returns the distance to a zone. It is 0 for the node's own zone, where a connect time
+// is mostly processing at the two ends.
 func (v View) To(zone string) Distance {
 	if zone == v.own.Zone {
 		return priorZone
--- a/internal/gatewaynode/place/distance_test.go
+++ b/internal/gatewaynode/place/distance_test.go
@@ -17,19 +17,19 @@
 		{"own zone", nil, "a", 0},
 		{"another zone of the region", nil, "b", priorRegion},
 		{"another region", nil, "c", priorFar},
-		{"zone that is not known", nil, "x", priorRegion},
-		{"what was measured counts", func(d *Distances) { d.Observe("c", 25*time.Millisecond, start) }, "c", 25},
-		{"a zone that is not known is not measured", func(d *Distances) { d.Observe("x", time.Second, start) }, "x", priorRegion},
-		{"one slow connect says little", func(d *Distances) {
+		{"unknown zone", nil, "x", priorRegion},
+		{"measurement overrides the default", func(d *Distances) { d.Observe("c", 25*time.Millisecond, start) }, "c", 25},
+		{"measurement of an unknown zone is ignored", func(d *Distances) { d.Observe("x", time.Second, start) }, "x", priorRegion},
+		{"slow connect raises the estimate a little", func(d *Distances) {
 			d.Observe("c", 20*time.Millisecond, start)
 			d.Observe("c", 120*time.Millisecond, start)
 		}, "c", 30},
-		{"a quicker one says it", func(d *Distances) {
+		{"faster connect replaces the estimate", func(d *Distances) {
 			d.Observe("c", 120*time.Millisecond, start)
 			d.Observe("c", 20*time.Millisecond, start)
 		}, "c", 20},
-		{"what was measured long ago does not count", func(d *Distances) { d.Observe("c", 200*time.Millisecond, start.Add(-2*measuredMost)) }, "c", priorFar},
-		{"nor is it averaged with what is", func(d *Distances) {
+		{"expired measurement is ignored", func(d *Distances) { d.Observe("c", 200*time.Millisecond, start.Add(-2*measuredMost)) }, "c", priorFar},
+		{"expired measurement is not averaged in", func(d *Distances) {
 			d.Observe("c", 20*time.Millisecond, start.Add(-2*measuredMost))
 			d.Observe("c", 60*time.Millisecond, start)
 		}, "c", 60},
--- a/internal/gatewaynode/place/place.go
+++ b/internal/gatewaynode/place/place.go
@@ -1,6 +1,6 @@
-// Package place says where nodes, back ends and callers stand: in a zone, whose
-// machines fail together, of a region, whose zones have short links. Its types are
-// values.
+// Package place describes the location of nodes, back ends and callers. A zone is a group
+// of machines that may fail together; a region is a group of zones with low latency between
+// them. The types Place, Map and Regions are immutable values.
 package place
 
 import (
@@ -8,38 +8,39 @@
 	"strings"
 )
 
-// Place is where something stands.
+// Place is a location.
 type Place struct{ Zone, Region string }
 
-// Map tells the region of each zone. The zero Map knows none.
+// Map maps zones to regions. The zero Map is empty.
 type Map struct{ regions map[string]string }
 
-// NewMap returns a map from zones to their regions. It keeps the map given, which must
-// not be changed.
+// NewMap returns a Map of zones to regions. It retains regions, which must not be modified
+// afterwards.
 func NewMap(regions map[string]string) Map { return Map{regions: regions} }
 
-// Region returns the region of a zone, empty if it is not known.
+// Region returns the region of a zone, empty if the zone is unknown.
 func (m Map) Region(zone string) string { return m.regions[zone] }
 
-// Of returns the place of a zone.
+// Of returns the place of a zone. Its region is empty if the zone is unknown.
 func (m Map) Of(zone string) Place { return Place{Zone: zone, Region: m.regions[zone]} }
 
-// Zones returns the number of zones known.
+// Zones returns the number of zones.
 func (m Map) Zones() int { return len(m.regions) }
 
-// Regions is where something may be served, cached and kept. The zero Regions is every
-// region. Values are equal if they hold the same regions.
+// Regions is the set of regions in which a request may be served and its data cached and
+// stored. The zero value contains every region. Values can be compared with ==.
 type Regions struct {
+	// bound is false if the set contains every region.
 	bound bool
-	// names holds the names, sorted and without repeats, each with a separator before and
-	// after it; empty if there are none.
+	// names lists the names sorted and without duplicates, with a separator before, between
+	// and after them; it is empty if there are none.
 	names string
 }
 
-// separator stands between names; no name holds it.
+// separator delimits region names, which must not contain it.
 const separator = ","
 
-// NewRegions returns the regions of the names alone; no names stand for every region.
+// NewRegions returns the set of the named regions, or every region if there are no names.
 func NewRegions(names ...string) Regions {
 	if len(names) == 0 {
 		return Regions{}
@@ -47,7 +48,7 @@
 	return only(names)
 }
 
-// only returns the regions of the names alone, none for no names.
+// only returns the set of the named regions, which is empty if there are no names.
 func only(names []string) Regions {
 	if len(names) == 0 {
 		return Regions{bound: true}
@@ -57,19 +58,19 @@
 	return Regions{bound: true, names: separator + strings.Join(slices.Compact(sorted), separator) + separator}
 }
 
-// Everywhere tells that no region is left out.
+// Everywhere reports whether r contains every region.
 func (r Regions) Everywhere() bool { return !r.bound }
 
-// Nowhere tells that no region is among them.
+// Nowhere reports whether r contains no region.
 func (r Regions) Nowhere() bool { return r.bound && r.names == "" }
 
-// Has tells whether a region is among them. A region that is not known is among them
-// only if all are.
+// Has reports whether r contains a region. The empty name, which stands for an unknown
+// region, is contained only in the set of every region.
 func (r Regions) Has(region string) bool {
 	return !r.bound || region != "" && strings.Contains(r.names, separator+region+separator)
 }
 
-// And returns the regions that are in both; it may be that none is.
+// And returns the intersection of r and other.
 func (r Regions) And(other Regions) Regions {
 	switch {
 	case !r.bound:
@@ -80,7 +81,7 @@
 	return only(slices.DeleteFunc(r.Names(), func(name string) bool { return !other.Has(name) }))
 }
 
-// Or returns the regions that are in either.
+// Or returns the union of r and other.
 func (r Regions) Or(other Regions) Regions {
 	if !r.bound || !other.bound {
 		return Regions{}
@@ -88,7 +89,7 @@
 	return only(append(r.Names(), other.Names()...))
 }
 
-// Names returns the names, ordered; none for every region.
+// Names returns the names in sorted order, nil if r contains every region or none.
 func (r Regions) Names() []string {
 	trimmed := strings.Trim(r.names, separator)
 	if trimmed == "" {
@@ -97,7 +98,7 @@
 	return strings.Split(trimmed, separator)
 }
 
-// String returns the names for logs.
+// String returns the names separated by commas, or "all" if r contains every region.
 func (r Regions) String() string {
 	if !r.bound {
 		return "all"
--- a/internal/gatewaynode/place/place_test.go
+++ b/internal/gatewaynode/place/place_test.go
@@ -11,16 +11,16 @@
 		has     bool
 		text    string
 	}{
-		{"all have it", all, true, "all"},
-		{"one has it", north, true, "north"},
-		{"several have it", both, true, "north,south"},
-		{"all and one", all.And(north), true, "north"},
-		{"one and all", north.And(all), true, "north"},
-		{"both bind", both.And(north), true, "north"},
-		{"none is left", none, false, ""},
-		{"none or one", none.Or(north), true, "north"},
-		{"none or none", none.Or(none), false, ""},
-		{"one or all", north.Or(all), true, "all"},
+		{"every region", all, true, "all"},
+		{"one region", north, true, "north"},
+		{"two regions", both, true, "north,south"},
+		{"every region and one", all.And(north), true, "north"},
+		{"one and every region", north.And(all), true, "north"},
+		{"intersection of two and one", both.And(north), true, "north"},
+		{"empty intersection", none, false, ""},
+		{"empty or one", none.Or(north), true, "north"},
+		{"empty or empty", none.Or(none), false, ""},
+		{"one or every region", north.Or(all), true, "all"},
 	}
 	for _, test := range cases {
 		if got := test.regions.Has("north"); got != test.has || test.regions.String() != test.text {
@@ -28,16 +28,16 @@
 		}
 	}
 	if north.Has("") || !all.Has("") {
-		t.Error("a region that is not known is in every region alone")
+		t.Error("the empty region name must be contained only in the set of every region")
 	}
 }
 
 func TestMap(t *testing.T) {
 	m := NewMap(map[string]string{"a1": "a"})
 	if m.Region("a1") != "a" || m.Region("b1") != "" || (Map{}).Region("a1") != "" {
-		t.Error("region of a zone")
+		t.Error("Region returned a wrong region")
 	}
 	if m.Of("a1") != (Place{Zone: "a1", Region: "a"}) {
-		t.Error("place of a zone")
+		t.Error("Of returned a wrong place")
 	}
 }
