--- a/internal/gatewaynode/fingerprint/fingerprint.go
+++ b/internal/gatewaynode/fingerprint/fingerprint.go
@@ -1,12 +1,11 @@
-// Package fingerprint tells requests apart by what they ask for, whatever their ids.
+// Package fingerprint computes keyed hashes that identify requests by their content.
 //
-// Two requests are the same work if host, target, tenant and body are the same. The
-// method, the id and the other fields of the header do not count: a caller that sends its
-// request once more gives it a new id and a new deadline.
+// Two requests have the same fingerprint if host, target, tenant and body are equal. The
+// method, the request id and the other header fields are left out, because a caller that
+// retries sends a new id and a new deadline.
 //
-// A fingerprint is a keyed hash. All nodes of a system share the key, which lies in the
-// store, so that they can speak of a request without its body, its path or its caller: who
-// reads logs or rows cannot find out what was asked by trying.
+// All nodes of a deployment use the same key, which is kept in the store. Because the hash
+// is keyed, a reader of logs or stored rows cannot recover a request by hashing guesses.
 package fingerprint
 
 import (
@@ -18,14 +17,14 @@
 	"errors"
 )
 
-// size is the length of a fingerprint in bytes: by chance, two of a million requests have
-// the same one with a probability of 1 in 10^26.
+// size is the length of a fingerprint in bytes. Among a million requests the probability
+// of any collision is below 1 in 10^26.
 const size = 16
 
-// Fingerprint stands for the work that a request asks for. The zero value stands for none.
+// Fingerprint identifies the content of a request. The zero value identifies none.
 type Fingerprint [size]byte
 
-// IsZero tells whether it stands for no work.
+// IsZero reports whether f is the zero value.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
 // String returns the fingerprint in hexadecimal, empty for the zero value.
@@ -36,10 +35,10 @@
 	return hex.EncodeToString(f[:])
 }
 
-// errForm says that a text is no fingerprint.
+// errForm is returned by Parse for a malformed fingerprint.
 var errForm = errors.New("fingerprint: want 32 hexadecimal digits")
 
-// Parse reads what String returned.
+// Parse parses a fingerprint formatted by String. It rejects the empty string.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != size {
@@ -51,27 +50,27 @@
 	return f, nil
 }
 
-// Work is what makes a request the same as another.
+// Work holds the parts of a request that its fingerprint covers.
 type Work struct {
 	Host, Target string
-	// Tenant is the caller, empty where callers are not told apart.
+	// Tenant is the caller, empty if callers are not distinguished.
 	Tenant string
 	Body   []byte
 }
 
-// Key is what the fingerprints of one system are made with.
+// Key is the HMAC-SHA256 key of the fingerprints of one deployment.
 type Key [sha256.Size]byte
 
-// NewKey returns a key by chance.
+// NewKey returns a random key.
 func NewKey() Key {
 	var key Key
-	// The library never fails here: it ends the process if there is no randomness.
+	// rand.Read never returns an error: it crashes the program if it cannot read randomness.
 	_, _ = rand.Read(key[:])
 	return key
 }
 
-// Of returns the fingerprint of a work. It reads the body once: BenchmarkOf measures the
-// cost.
+// Of returns the fingerprint of work. Each part before the body is prefixed with its
+// length, so that moving bytes between parts changes the fingerprint.
 func (k *Key) Of(work Work) Fingerprint {
 	mac := hmac.New(sha256.New, k[:])
 	for _, part := range []string{work.Host, work.Target, work.Tenant} {
--- a/internal/gatewaynode/fingerprint/fingerprint_test.go
+++ b/internal/gatewaynode/fingerprint/fingerprint_test.go
@@ -14,7 +14,7 @@
 	copied := base
 	copied.Body = bytes.Clone(base.Body)
 	if key.Of(base) != key.Of(copied) {
-		t.Fatal("one work has two fingerprints")
+		t.Fatal("equal requests have different fingerprints")
 	}
 	others := map[string]fingerprint.Work{
 		"host":       {Host: "i", Target: "/a/b", Tenant: "t", Body: []byte("body")},
@@ -25,11 +25,11 @@
 	}
 	for name, other := range others {
 		if key.Of(base) == key.Of(other) {
-			t.Errorf("another %s has the same fingerprint", name)
+			t.Errorf("request that differs in %s has the same fingerprint", name)
 		}
 	}
 	if second := fingerprint.NewKey(); key.Of(base) == second.Of(base) {
-		t.Error("another key makes the same fingerprint")
+		t.Error("two keys give the same fingerprint")
 	}
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkOf measures what a request costs before it is sent: 600 bytes is the body of
-// most requests, 1 MiB the largest answer that is kept back.
+// BenchmarkOf measures the cost added to each request: 600 bytes is a typical body, 1 MiB
+// the largest answer that is buffered.
 func BenchmarkOf(b *testing.B) {
 	key := fingerprint.NewKey()
 	for _, size := range []int{0, 600, 64 << 10, 1 << 20} {
