--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet is what a node believes of the back ends: which instances there
-// are (from the platform's registry), how loaded and how fast each is (from the
-// answers this node got), and which are to be left alone for a while.
+// Package fleet holds a node's view of the back ends: the instances in the platform's
+// registry, the load and speed of each as observed in the answers to this node, and the
+// suspensions after failures.
 //
-// The registry decides who may get work: an instance that is draining or gone
-// gets nothing new. Everything else only orders the choice. Snapshots are
-// values; what callers choose from them is decided by pure functions.
+// An instance that the registry lists as draining or no longer lists gets no new requests.
+// Load, speed and suspensions only rank the others. The snapshots that Fleet returns are
+// not changed by later updates.
 package fleet
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// Instance is one incarnation of a back end as the registry tells it.
+// Instance is a back end as listed in the registry.
 type Instance struct {
 	ID       string
 	Service  string
@@ -28,72 +28,78 @@
 	Draining bool
 	// Models maps a model to the version of its weights.
 	Models map[string]int64
-	// Cold is how much longer it stays cold from the entry's writing on.
+	// Cold is how long the instance stays cold after the registry entry was written.
 	Cold time.Duration
-	// Born is when it started, in milliseconds of its own clock; 0 if it does not say. One
-	// that starts again under its id holds nothing of what it held.
+	// Born is the start time of the process in milliseconds of its own clock, 0 if it is
+	// not reported. A change means that the process restarted and lost its state.
 	Born int64
-	// Revision is the store's revision of the entry.
+	// Revision is the store's revision of the registry entry.
 	Revision int64
 }
 
-// Condition is what the node learnt of an instance by itself.
+// Condition is the state of an instance that the node observed itself.
 type Condition struct {
 	// InFlight counts this node's requests at the instance.
 	InFlight int
-	// OthersRunning estimates the requests of other nodes, as of LoadAt.
+	// OthersRunning is the estimated number of running requests of other nodes at LoadAt.
 	OthersRunning int
-	Waiting       int
-	LoadAt        time.Time
-	// Slowdown is how many times as long as usual work took there as of LoadAt by its own
-	// word, 0 if it does not say.
+	// Waiting is the length of the instance's queue at LoadAt.
+	Waiting int
+	// LoadAt is when the instance last reported its load.
+	LoadAt time.Time
+	// Slowdown is the factor by which the instance ran slower than usual at LoadAt, as it
+	// reported; 0 if it does not report one.
 	Slowdown float64
-	// Latency is a moving average of whole answers, each as if it were one of those that
-	// take the usual time; Pace of the time between two
-	// events of a stream. 0 means unknown.
+	// Latency is a moving average of the time of whole answers, each normalized by the
+	// usual time of its route. 0 means unknown.
 	Latency time.Duration
-	// ScoreLatency is a moving average of calls of scoring services: one takes several
-	// times as long as most requests at the same back end.
+	// ScoreLatency is a moving average of the time of calls to scoring services, which
+	// take several times as long as most requests. 0 means unknown.
 	ScoreLatency time.Duration
-	Pace         time.Duration
-	PaceAt       time.Time
-	// Settled is the pace over the last seconds: what shares its machine with others is
-	// slow for a moment now and then, which says nothing of the moments after.
+	// Pace is a moving average of the time between two events of a stream, over
+	// paceWindow and all streams. 0 means unknown.
+	Pace time.Duration
+	// PaceAt is when the pace was last measured.
+	PaceAt time.Time
+	// Settled is the same average over settledWindow. It evens out the short slow phases
+	// of an instance that shares its machine with other processes.
 	Settled time.Duration
-	// Lasting is the pace over the instance's life.
+	// Lasting is the average over the lifetime of the instance.
 	Lasting LastingPace
-	// Failures counts failures in a row; until SuspendedUntil it gets no work
-	// unless there is no other.
-	Failures       int
+	// Failures counts consecutive failures.
+	Failures int
+	// SuspendedUntil is until when the instance gets requests only if no other can.
 	SuspendedUntil time.Time
 	SuspendReason  string
-	// Share is the model that the instance is meant for where several share a service,
-	// empty if none is known.
+	// Share is the model assigned to the instance where the models of a service are
+	// divided among its instances, empty if unknown.
 	Share string
 	// LoadingModel is the model whose weights are being changed, empty if none.
 	LoadingModel string
+	// LoadingUntil is when LoadingModel expires.
 	LoadingUntil time.Time
-	// ColdUntil is until when the back end is taken to be cold: slow, and unable to bear
-	// what a warm one does.
+	// ColdUntil is until when the back end is assumed to be cold: slow, and overloaded by
+	// the request rate of a warm one.
 	ColdUntil time.Time
 }
 
-// Memory is what is known of a back end's memory for tokens, which the requests that
-// it runs share. A back end that runs out of it puts requests back.
+// Memory is the token memory of a back end, shared by its running requests. All sizes are
+// in tokens. A back end that runs out of it preempts requests.
 type Memory struct {
-	// Most is the memory, 0 if it is not known.
+	// Most is the capacity, 0 if unknown.
 	Most int
-	// Held is what this node's requests there hold now, Expected, what they are expected
-	// to hold at their ends.
-	Held, Expected int
+	// Held is the current use by this node's requests.
+	Held int
+	// Expected is the use expected of this node's requests when they end.
+	Expected int
 }
 
-// Full returns the share of the memory that is in use once more tokens are held; 0 if
-// the memory is not known.
+// Full returns the fraction of the capacity in use after adding more tokens, 0 if the
+// capacity is unknown.
 func (m Memory) Full(more int) float64 { return m.share(m.Held + more) }
 
-// Crowded returns the share of the memory that will be in use if all ends as expected
-// and more tokens are held at the end; 0 if the memory is not known.
+// Crowded returns the fraction of the capacity in use when the requests end, after adding
+// more tokens, 0 if the capacity is unknown.
 func (m Memory) Crowded(more int) float64 { return m.share(m.Expected + more) }
 
 func (m Memory) share(tokens int) float64 {
@@ -103,26 +109,26 @@
 	return float64(tokens) / float64(m.Most)
 }
 
-// Reach is what lies between a node and a back end.
+// Reach describes the path from a node to a back end.
 type Reach struct {
 	Distance place.Distance
-	// Idle counts the idle connections that stand to it.
+	// Idle counts the idle connections to the back end.
 	Idle int
-	// Order is its place in the node's own order of all back ends, the lowest first.
+	// Order is the rank of the back end in the node's own order of all back ends; the
+	// lowest comes first.
 	Order uint64
 }
 
-// Backend is an instance with its condition, as of one moment.
+// Backend is a snapshot of an instance and its condition.
 type Backend struct {
 	Instance
 	Condition
-	// Memory and Reach are left zero by the fleet; who places requests fills them in.
+	// Memory and Reach are left zero by Fleet; the code that places requests sets them.
 	Memory Memory
 	Reach  Reach
 }
 
-// SettledPace returns the pace over the last seconds, or the last one measured if that is all
-// there is; 0 if none is known.
+// SettledPace returns Settled, or Pace if Settled is unknown; 0 if both are.
 func (c Condition) SettledPace() time.Duration {
 	if c.Settled == 0 {
 		return c.Pace
@@ -130,18 +136,18 @@
 	return c.Settled
 }
 
-// Cold tells whether the back end is taken to be cold.
+// Cold reports whether the back end is assumed to be cold.
 func (b Backend) Cold(now time.Time) bool { return b.ColdUntil.After(now) }
 
-// Suspended tells whether the back end is to be left alone.
+// Suspended reports whether the back end is suspended after failures.
 func (b Backend) Suspended(now time.Time) bool { return now.Before(b.SuspendedUntil) }
 
-// slowdownFades is the time in which what a back end said of its pace loses two thirds of its
-// worth: what it shares its machine with changes several times a second.
+// slowdownFades is the time constant of the exponential decay of a reported slowdown. It is
+// short because the load of other processes on a machine changes several times a second.
 const slowdownFades = 500 * time.Millisecond
 
-// SlowNow returns how many times as long as usual work is expected to take: as the back end
-// said, the less the longer ago; 1 where it says nothing.
+// SlowNow returns the slowdown expected now: the reported one, decaying towards 1 with its
+// age, or 1 if none is reported.
 func (b Backend) SlowNow(now time.Time) float64 {
 	if b.Slowdown <= 0 {
 		return 1
@@ -150,25 +156,27 @@
 	return 1 + (b.Slowdown-1)*math.Exp(-float64(age)/float64(slowdownFades))
 }
 
-// Load returns the share of the back end's slots that is in use, as far as
-// this node knows.
+// Load returns the fraction of the back end's slots that this node believes to be in use.
+// It exceeds 1 if there are more requests than slots.
 func (b Backend) Load() float64 {
 	slots := max(b.Slots, 1)
 	return float64(b.InFlight+b.OthersRunning) / float64(slots)
 }
 
-// loadTTL is how long a reported load counts.
+// loadTTL is how long a reported load is used.
 const loadTTL = 2 * time.Second
 
 type entry struct {
 	instance  Instance
 	condition Condition
-	// loaded is known beside the registry; models is both, never changed in place,
-	// so that snapshots share it.
-	loaded, models map[string]int64
+	// loaded holds the versions recorded by MarkVersion.
+	loaded map[string]int64
+	// models is instance.Models updated by loaded. It is replaced and never modified,
+	// because snapshots share it.
+	models map[string]int64
 }
 
-// merge makes models anew.
+// merge recomputes models. The fleet's lock is held.
 func (e *entry) merge() {
 	if len(e.loaded) == 0 {
 		e.models = e.instance.Models
@@ -180,23 +188,23 @@
 	}
 }
 
-// Fleet holds the back ends. It is safe for concurrent use.
+// Fleet holds all back ends. It is safe for concurrent use.
 type Fleet struct {
 	mu        sync.Mutex
 	instances map[string]*entry
-	// services holds the same entries by service, each list ordered by id.
+	// services holds the same entries by service, each list sorted by id.
 	services map[string][]*entry
 	onChange func()
 }
 
-// New returns an empty fleet. onChange, which may be nil, is called without
-// locks held after each change of the registry.
+// New returns an empty Fleet. onChange, which may be nil, is called without locks held after
+// each change of the instances, their models or LoadingModel.
 func New(onChange func()) *Fleet {
 	return &Fleet{instances: make(map[string]*entry), services: make(map[string][]*entry), onChange: onChange}
 }
 
-// Replace makes the registry hold exactly the instances given, but for those
-// it holds at a newer revision.
+// Replace replaces all instances. An instance that is already held at a newer revision is
+// kept as it is.
 func (f *Fleet) Replace(instances []Instance) {
 	f.mu.Lock()
 	keep := make(map[string]bool, len(instances))
@@ -213,7 +221,7 @@
 	f.changed()
 }
 
-// Update applies changed instances and removals.
+// Update applies changed instances, then removals by id.
 func (f *Fleet) Update(instances []Instance, removed []string) {
 	f.mu.Lock()
 	for _, instance := range instances {
@@ -232,7 +240,7 @@
 	}
 }
 
-// put adds an instance or takes a newer entry of it. The lock is held.
+// put adds or updates an instance unless a newer revision is held. The lock is held.
 func (f *Fleet) put(instance Instance) {
 	held := f.instances[instance.ID]
 	if held != nil && instance.Revision < held.instance.Revision {
@@ -257,8 +265,8 @@
 	held.merge()
 }
 
-// startAnew forgets what is known of an instance that ended: another one has its id. Requests
-// of this node that are under way end by themselves and are counted until then.
+// startAnew resets the state of an instance that restarted. The requests of this node that
+// are in flight stay counted until their callers end them.
 func (e *entry) startAnew() {
 	e.loaded = nil
 	e.condition = Condition{InFlight: e.condition.InFlight, Share: e.condition.Share, ColdUntil: e.condition.ColdUntil}
@@ -271,14 +279,14 @@
 	return b
 }
 
-// enlist puts an entry into its service's list. The lock is held.
+// enlist inserts an entry into the list of its service. The lock is held.
 func (f *Fleet) enlist(e *entry, instance Instance) {
 	list := f.services[instance.Service]
 	place, _ := slices.BinarySearchFunc(list, instance.ID, byID)
 	f.services[instance.Service] = slices.Insert(list, place, e)
 }
 
-// remove forgets an instance. The lock is held.
+// remove removes an instance. The lock is held.
 func (f *Fleet) remove(id string) {
 	held := f.instances[id]
 	if held == nil {
@@ -293,8 +301,8 @@
 
 func byID(e *entry, id string) int { return cmp.Compare(e.instance.ID, id) }
 
-// MarkVersion records that an instance holds a version of a model, where that
-// is known before the registry says so.
+// MarkVersion records that an instance has loaded a version of a model before the registry
+// reports it. It never lowers a version.
 func (f *Fleet) MarkVersion(id, model string, version int64) {
 	f.mu.Lock()
 	held := f.instances[id]
@@ -309,25 +317,25 @@
 	f.changed()
 }
 
-// MarkLoading records that the weights of a model are being changed at an
-// instance, until a time at the latest; an empty model ends it.
+// MarkLoading records that an instance is loading weights of a model. The mark expires at
+// until; an empty model removes it.
 func (f *Fleet) MarkLoading(id, model string, until time.Time) {
 	f.with(id, func(c *Condition) { c.LoadingModel, c.LoadingUntil = model, until })
 	f.changed()
 }
 
-// MarkCold records that an instance may be cold until a time. What is known to be cold
-// for longer stays so.
+// MarkCold records that an instance may be cold until the given time. It never shortens the
+// time.
 func (f *Fleet) MarkCold(id string, until time.Time) {
 	f.with(id, func(c *Condition) { c.ColdUntil = later(c.ColdUntil, until) })
 }
 
-// MarkShare records the model that an instance is meant for.
+// MarkShare records the model that is assigned to an instance.
 func (f *Fleet) MarkShare(id, model string) {
 	f.with(id, func(c *Condition) { c.Share = model })
 }
 
-// Service returns the back ends of a service, ordered by id.
+// Service returns the back ends of a service, sorted by id.
 func (f *Fleet) Service(service string, now time.Time) []Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -339,8 +347,8 @@
 	return backends
 }
 
-// Slots returns the slots of all back ends of a service, and how many models
-// they hold.
+// Slots returns the total number of slots of the back ends of a service and the number of
+// different models that the registry lists for them.
 func (f *Fleet) Slots(service string) (slots, models int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,7 +362,7 @@
 	return slots, len(held)
 }
 
-// Models returns the models that the back ends of a service hold, ordered.
+// Models returns the models that the registry lists for the back ends of a service, sorted.
 func (f *Fleet) Models(service string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -367,7 +375,7 @@
 	return slices.Sorted(maps.Keys(held))
 }
 
-// All returns all back ends, ordered by id.
+// All returns all back ends, sorted by id.
 func (f *Fleet) All(now time.Time) []Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -379,7 +387,7 @@
 	return backends
 }
 
-// Get returns the back end of that id.
+// Get returns the back end with the given id, and whether it exists.
 func (f *Fleet) Get(id string, now time.Time) (Backend, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -390,6 +398,7 @@
 	return held.backend(now), true
 }
 
+// backend returns a snapshot without expired loads and marks. The fleet's lock is held.
 func (e *entry) backend(now time.Time) Backend {
 	backend := Backend{Instance: e.instance, Condition: e.condition}
 	if now.Sub(e.condition.LoadAt) > loadTTL {
@@ -402,6 +411,7 @@
 	return backend
 }
 
+// with applies change to the condition of an instance, if the instance exists.
 func (f *Fleet) with(id string, change func(*Condition)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -410,7 +420,8 @@
 	}
 }
 
-// Begin counts a request at the instance; the function returned ends it.
+// Begin counts a request in flight at an instance until the returned function is called,
+// which may be called more than once.
 func (f *Fleet) Begin(id string) func() {
 	f.with(id, func(c *Condition) { c.InFlight++ })
 	var once sync.Once
--- a/internal/gatewaynode/fleet/fleet_test.go
+++ b/internal/gatewaynode/fleet/fleet_test.go
@@ -17,11 +17,11 @@
 	fleet.Update([]Instance{instance("a", 5, true)}, nil)
 	fleet.Update([]Instance{instance("a", 4, false)}, nil)
 	if got, _ := fleet.Get("a", now); !got.Draining {
-		t.Fatal("an older row undid a newer one")
+		t.Fatal("an older revision replaced a newer one")
 	}
 	fleet.Replace([]Instance{instance("b", 6, false)})
 	if _, found := fleet.Get("a", now); found || len(fleet.Service("s", now)) != 1 {
-		t.Fatal("an instance that is gone from the whole registry is still there")
+		t.Fatal("Replace kept an instance that is no longer listed")
 	}
 }
 
@@ -35,7 +35,7 @@
 	fleet.MarkVersion("a", "m", 2)
 	fleet.Update([]Instance{instance("a", 2, false)}, nil)
 	if got, _ := fleet.Get("a", now); got.Models["m"] != 3 {
-		t.Fatalf("a version went back: %v", got.Models)
+		t.Fatalf("the version decreased: %v", got.Models)
 	}
 }
 
@@ -55,18 +55,18 @@
 		fleet.ObserveFailure("a", "x", now)
 	}
 	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != suspendFirst {
-		t.Fatalf("suspended for %s after failures at the same time", got.SuspendedUntil.Sub(now))
+		t.Fatalf("suspended for %s after concurrent failures, want %s", got.SuspendedUntil.Sub(now), suspendFirst)
 	}
 	now = now.Add(suspendFirst)
 	fleet.ObserveFailure("a", "x", now)
 	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != suspendMost {
-		t.Fatalf("suspended for %s", got.SuspendedUntil.Sub(now))
+		t.Fatalf("suspended for %s, want %s", got.SuspendedUntil.Sub(now), suspendMost)
 	}
 	now = now.Add(suspendMost)
 	fleet.ObserveLatency("a", time.Millisecond)
 	fleet.ObserveFailure("a", "x", now)
 	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != suspendFirst {
-		t.Fatal("a success did not reset the failures")
+		t.Fatal("a success did not reset the count of failures")
 	}
 }
 
@@ -96,14 +96,14 @@
 		fleet.ObservePace("a", 400*time.Millisecond, at)
 	}
 	if got, _ := fleet.Get("a", at); got.Pace > 100*time.Millisecond {
-		t.Fatalf("one slow moment made the pace %s", got.Pace)
+		t.Fatalf("concurrent slow events raised the pace to %s", got.Pace)
 	}
 	for range 20 {
 		at = at.Add(100 * time.Millisecond)
 		fleet.ObservePace("a", 400*time.Millisecond, at)
 	}
 	if got, _ := fleet.Get("a", at); got.Pace < 350*time.Millisecond {
-		t.Fatalf("after two slow seconds the pace is %s", got.Pace)
+		t.Fatalf("pace after two slow seconds is %s", got.Pace)
 	}
 }
 
@@ -112,10 +112,10 @@
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	fleet.MarkLoading("a", "m", now.Add(time.Second))
 	if got, _ := fleet.Get("a", now); got.LoadingModel != "m" {
-		t.Fatal("not loading")
+		t.Fatal("LoadingModel is not set")
 	}
 	if got, _ := fleet.Get("a", now.Add(2*time.Second)); got.LoadingModel != "" {
-		t.Fatal("an announced load keeps others away for ever")
+		t.Fatal("LoadingModel did not expire")
 	}
 }
 
@@ -125,10 +125,10 @@
 	before := fleet.Service("s", now)
 	fleet.MarkVersion("a", "m", 7)
 	if before[0].ID != "a" || before[0].Models["m"] != 1 {
-		t.Fatalf("an earlier snapshot holds %+v", before[0])
+		t.Fatalf("the earlier snapshot changed: %+v", before[0])
 	}
 	if after := fleet.Service("s", now); after[0].Models["m"] != 7 {
-		t.Fatalf("a new snapshot holds %+v", after[0])
+		t.Fatalf("the new snapshot lacks the version: %+v", after[0])
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	fleet.Replace([]Instance{instance("d", 9, false)})
 	if len(fleet.Service("other", now)) != 0 || len(fleet.All(now)) != 1 {
-		t.Error("instances that are gone are still listed")
+		t.Error("Replace kept instances that are no longer listed")
 	}
 }
 
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestSameIDAgain: what is known of a back end is of one life of it; another one under its id
-// has loaded nothing and has no pace, and is not left alone for what the one before did.
+// TestSameIDAgain checks that a restart under the same id resets loaded models, pace and
+// suspension, but not the requests in flight.
 func TestSameIDAgain(t *testing.T) {
 	backends, now := New(nil), time.Now()
 	entry := Instance{ID: "a", Service: "s", Slots: 4, Born: 1000, Revision: 1, Models: map[string]int64{"m": 1}}
@@ -178,15 +178,15 @@
 	entry.Revision = 2
 	backends.Update([]Instance{entry}, nil)
 	if b, _ := backends.Get("a", now); b.Models["m"] != 7 || b.Pace == 0 || b.Failures != 1 {
-		t.Errorf("the same life was forgotten: %+v", b)
+		t.Errorf("an update without a restart reset the state: %+v", b)
 	}
 	entry.Revision, entry.Born = 3, 2000
 	backends.Update([]Instance{entry}, nil)
 	if b, _ := backends.Get("a", now); b.Models["m"] != 1 || b.Pace != 0 || b.Failures != 0 || b.Suspended(now) || b.LoadingModel != "" || b.InFlight != 1 {
-		t.Errorf("the life before is remembered: %+v", b)
+		t.Errorf("state was kept across a restart: %+v", b)
 	}
 	end()
 	if b, _ := backends.Get("a", now); b.InFlight != 0 {
-		t.Errorf("%d in flight", b.InFlight)
+		t.Errorf("%d requests in flight, want 0", b.InFlight)
 	}
 }
--- a/internal/gatewaynode/fleet/lasting.go
+++ b/internal/gatewaynode/fleet/lasting.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// LastingPace is the pace that an instance has had over its life. Instances of a service
-// may differ for good, and then differ still when nothing was measured for a while.
+// LastingPace is the average pace of an instance over its lifetime. It shows permanent
+// differences between the instances of a service, also after a time without traffic.
 type LastingPace struct {
 	Pace time.Duration
-	// Count is the number of measurements, paceWindow apart at least, At, when the last
-	// one was taken.
+	// Count is the number of measurements, which are at least paceWindow apart.
 	Count int
-	At    time.Time
+	// At is the time of the last measurement.
+	At time.Time
 }
 
 const (
-	// lastingFall and lastingRise are the weights of a measurement that is below and above
-	// what is known. An instance is slow for some seconds far more often than it is quick
-	// for some: ten seconds of a third of its speed raise its lasting pace by four tenths,
-	// and a second at its own brings that back.
+	// lastingFall and lastingRise are the weights of a measurement below and above the
+	// average. Temporary slowness is far more common than temporary speed, so that the
+	// average follows low measurements quickly and high ones slowly.
 	lastingFall = 0.3
 	lastingRise = 0.01
-	// lastingLeast is from how many measurements on the lasting pace tells something.
+	// lastingLeast is the number of measurements from which the average is used.
 	lastingLeast = 5
 )
 
-// observe returns the lasting pace after one more measurement.
+// observe returns l updated by a measurement. It ignores one that follows the last within
+// paceWindow.
 func (l LastingPace) observe(pace time.Duration, now time.Time) LastingPace {
 	if l.Count > 0 && now.Sub(l.At) < paceWindow {
 		return l
@@ -41,5 +41,5 @@
 	return l
 }
 
-// Known tells whether the lasting pace tells something.
+// Known reports whether there are enough measurements to use the average.
 func (l LastingPace) Known() bool { return l.Count >= lastingLeast }
--- a/internal/gatewaynode/fleet/lasting_test.go
+++ b/internal/gatewaynode/fleet/lasting_test.go
@@ -17,7 +17,7 @@
 	}
 	observe(usual, 1)
 	if lasting.Known() {
-		t.Error("known after two measurements")
+		t.Error("Known is true after two measurements")
 	}
 	observe(usual, 10)
 	if !lasting.Known() || lasting.Pace != usual {
@@ -25,18 +25,18 @@
 	}
 	observe(3*usual, 10)
 	if lasting.Pace > 3*usual/2 {
-		t.Errorf("ten slow seconds count as %v", lasting.Pace)
+		t.Errorf("ten slow seconds raised the average to %v", lasting.Pace)
 	}
 	observe(usual, 2)
 	if lasting.Pace > usual+usual/5 {
-		t.Errorf("two seconds at its own pace after that: %v", lasting.Pace)
+		t.Errorf("average is %v two seconds after the slow phase", lasting.Pace)
 	}
 	observe(3*usual, 300)
 	if lasting.Pace < 2*usual {
-		t.Errorf("slow for good counts as %v", lasting.Pace)
+		t.Errorf("average is %v after 300 slow seconds", lasting.Pace)
 	}
 	before := lasting
 	if lasting = lasting.observe(usual, now.Add(time.Millisecond)); lasting != before {
-		t.Error("events of one moment count as several measurements")
+		t.Error("a measurement within paceWindow of the last was counted")
 	}
 }
--- a/internal/gatewaynode/fleet/observe.go
+++ b/internal/gatewaynode/fleet/observe.go
@@ -3,17 +3,19 @@
 import "time"
 
 const (
-	// smoothing is the weight of a new measurement in a moving average.
+	// smoothing is the weight of a new measurement in the averages of latencies.
 	smoothing = 0.3
-	// suspendFirst and suspendMost bound the pause after failures in a row.
+	// suspendFirst and suspendMost are the shortest and the longest suspension after
+	// consecutive failures.
 	suspendFirst = 250 * time.Millisecond
 	suspendMost  = 4 * time.Second
 )
 
-// Load is what a back end said of itself in an answer.
+// Load is the load that a back end reports in an answer.
 type Load struct {
 	Running, Waiting int
-	// Slowdown is how many times as long as usual work takes there, 0 if it does not say.
+	// Slowdown is the factor by which the back end is slower than usual, 0 if it does not
+	// report one.
 	Slowdown float64
 }
 
@@ -27,8 +29,8 @@
 	})
 }
 
-// AsUsual returns how long what took a time would have taken at the back end's usual pace, as
-// far as it said how slow it was.
+// AsUsual converts a measured time to the time at the usual speed of the back end. It
+// returns took if no slowdown is reported.
 func (l Load) AsUsual(took time.Duration) time.Duration {
 	if l.Slowdown <= 0 {
 		return took
@@ -36,7 +38,7 @@
 	return time.Duration(float64(took) / l.Slowdown)
 }
 
-// ObserveLatency records the time of a whole answer.
+// ObserveLatency records the time of a whole answer. It resets the count of failures.
 func (f *Fleet) ObserveLatency(id string, latency time.Duration) {
 	f.with(id, func(c *Condition) {
 		c.Latency = average(c.Latency, latency)
@@ -44,7 +46,8 @@
 	})
 }
 
-// ObserveScore records the time of a whole answer of a scoring service.
+// ObserveScore records the time of a call to a scoring service. It resets the count of
+// failures.
 func (f *Fleet) ObserveScore(id string, latency time.Duration) {
 	f.with(id, func(c *Condition) {
 		c.ScoreLatency = average(c.ScoreLatency, latency)
@@ -52,7 +55,8 @@
 	})
 }
 
-// ObservePace records the time between two events of a stream.
+// ObservePace records the time between two events of a stream. It resets the count of
+// failures.
 func (f *Fleet) ObservePace(id string, gap time.Duration, now time.Time) {
 	f.with(id, func(c *Condition) {
 		since := now.Sub(c.PaceAt)
@@ -64,6 +68,7 @@
 	})
 }
 
+// average returns the moving average old updated by a measurement. An old of 0 means none.
 func average(old, measured time.Duration) time.Duration {
 	if old == 0 {
 		return measured
@@ -71,16 +76,16 @@
 	return old + time.Duration(smoothing*float64(measured-old))
 }
 
-// paceWindow is the time over which the pace of an instance is averaged, over
-// all its streams.
+// paceWindow is the time over which Condition.Pace is averaged.
 const paceWindow = 400 * time.Millisecond
 
-// settledWindow is the time over which the settled pace is averaged: a machine that is slowed
-// two and a half times for 0.6 s by what it shares raises it by less than half.
+// settledWindow is the time over which Condition.Settled is averaged. It is long enough that
+// a slow phase of half a second changes the average little.
 const settledWindow = 2 * time.Second
 
-// paceAverage weighs a gap by the time since the last measurement, so that many
-// streams at once do not make the average over a window follow each single event.
+// paceAverage returns the average old updated by a gap, which is weighted by the time since
+// the last measurement. The average therefore depends on time and not on the number of
+// events, of which many concurrent streams deliver several at the same moment.
 func paceAverage(old, gap, since, window time.Duration) time.Duration {
 	if old == 0 || since >= window {
 		return gap
@@ -89,14 +94,13 @@
 	return old + time.Duration(weight*float64(gap-old))
 }
 
-// paceLeast is the least weight of a measurement in an average over paceWindow.
+// paceLeast is the minimum weight of a measurement in an average over paceWindow.
 const paceLeast = 0.005
 
-// ObserveFailure records a failure and leaves the instance alone for a time
-// that doubles with each failure in a row. What fails while the instance is left
-// alone already was begun before: it counts, but makes the present pause no longer.
-// Many requests that fail together, as those that wait at a full instance do, would
-// take it out of use for long at once.
+// ObserveFailure records a failure and suspends the instance for a time that doubles with
+// each consecutive failure. A failure during a suspension is counted but does not extend it:
+// otherwise many requests that fail together, such as those queued at a full instance,
+// would cause the longest suspension at once.
 func (f *Fleet) ObserveFailure(id, reason string, now time.Time) {
 	f.with(id, func(c *Condition) {
 		c.Failures++
@@ -109,7 +113,7 @@
 	})
 }
 
-// Suspend leaves the instance alone for a while without counting a failure.
+// Suspend suspends an instance without counting a failure. It never shortens a suspension.
 func (f *Fleet) Suspend(id, reason string, until time.Time) {
 	f.with(id, func(c *Condition) {
 		if until.After(c.SuspendedUntil) {
