--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -1,17 +1,16 @@
-// Package eligibility decides which back ends may get a request. It is the one place
-// that does: live requests, second attempts, streams that go on elsewhere, items of batch
-// jobs, calls to scoring services and orders to back ends all ask it, when a back end is
-// chosen and once more at the moment of sending.
+// Package eligibility decides which back ends may get a request. All calls to back ends use
+// it: live requests, retries, resumed streams, items of batch jobs, calls to scoring services
+// and commands to back ends. Callers check when they choose a back end and again when they
+// send.
 //
 // # Invariants
 //
-//   - The decision is a pure function of a back end, a request and a World, which is what
-//     the node believes as of one moment.
-//   - What may not be sent is a matter of this package; which of the back ends that may get
-//     a request is the best is a matter of who chooses.
-//   - A call leaves the process only after Gate.Admit let it through, on a connection that
-//     stands: between the choice and the sending a process may have been frozen, or have
-//     waited for a connection.
+//   - The decision is a pure function of a back end, a request and a World, which is a
+//     snapshot of the node's state.
+//   - This package only excludes back ends. Callers rank the eligible ones.
+//   - A call is sent only after Gate.Admit has admitted it on an established connection,
+//     because the process may have been suspended, or have waited for a connection, since
+//     the back end was chosen.
 package eligibility
 
 import (
@@ -24,48 +23,53 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// Request is what decides on the side of a request.
+// Request holds the properties of a request that affect eligibility.
 type Request struct {
-	// Work is what it asks for, zero if it may run whatever ended under its like.
+	// Work is the fingerprint of the request. The zero value exempts it from quarantine.
 	Work fingerprint.Fingerprint
-	// Regions are those that may serve it: of its route and its tenant, both bind.
+	// Regions is the set of regions allowed by both its route and its tenant.
 	Regions place.Regions
-	// Model is the model that has to answer, empty if any; MinVersion, the oldest version
-	// of its weights that may; Version, if above 0, the only one.
-	Model               string
-	MinVersion, Version int64
-	// Weights tells that the versions count: the back end must be known to hold them, and
-	// to be at rest.
+	// Model is the required model, empty for any.
+	Model string
+	// MinVersion is the oldest allowed version of the model's weights.
+	MinVersion int64
+	// Version is the only allowed version if it is above 0.
+	Version int64
+	// Weights enables the checks of MinVersion and Version. The back end must then be known
+	// to hold the model and must not be loading weights of it.
 	Weights bool
-	// Patient requests rather wait than go where it is not known whether they may: they
-	// belong to jobs, which are kept whatever becomes of this node.
+	// Patient is set for requests of jobs. They survive the loss of this node, and so wait
+	// if the node's list of evacuations is out of date.
 	Patient bool
-	// Warm requests can wait until a back end that is cold no longer is, and leave what
-	// it bears to others.
+	// Warm is set for requests that wait until no back end is cold and leave the capacity
+	// of cold ones to others.
 	Warm bool
 }
 
-// World is what a node believes, as of one moment.
+// World is a snapshot of the node's state on which eligibility depends.
 type World struct {
 	Now time.Time
-	// Zones tells the region of each zone.
+	// Zones maps zones to regions.
 	Zones place.Map
-	// Held returns how many back ends ended under a quarantined work, 0 for others; nil
-	// stands for that everywhere.
+	// Held returns how many back ends terminated while they ran a quarantined request, 0
+	// if the request is not quarantined. If Held is nil, none is.
 	Held func(work fingerprint.Fingerprint) int
-	// Evacuations are those in force. Age is how long ago the store confirmed them last;
-	// up to AgeMost patient requests may rely on them, 0 sets no limit.
-	Evacuations  evacuation.Set
-	Age, AgeMost time.Duration
-	// Turns returns how many requests this node may send to a cold back end now,
-	// coldstart.Unbounded where nothing bounds them; nil stands for that everywhere.
+	// Evacuations is the set of evacuations in force.
+	Evacuations evacuation.Set
+	// Age is the time since the store last confirmed Evacuations.
+	Age time.Duration
+	// AgeMost is the maximum Age at which Patient requests are sent, 0 for no limit.
+	AgeMost time.Duration
+	// Turns returns how many requests this node may send to a cold back end now, or
+	// coldstart.Unbounded. If Turns is nil, the number is unbounded for all back ends.
 	Turns func(backend *fleet.Backend) int
-	// NextTurn returns after which time this node may send one more to a cold back end, 0
-	// if it cannot tell; nil stands for that everywhere.
+	// NextTurn returns the time until this node may send another request to a cold back
+	// end, 0 if unknown. If NextTurn is nil, it is unknown for all back ends.
 	NextTurn func(backend *fleet.Backend) time.Duration
 }
 
-// Decide returns why a back end may not get a request, nil if it may. It is pure.
+// Decide returns the reason why a back end may not get a request, nil if it may. It is a
+// pure function.
 func (w *World) Decide(b *fleet.Backend, r Request) Reason {
 	if ends := w.HeldEnds(r.Work); ends > 0 {
 		return Quarantined{Ends: ends}
@@ -79,7 +83,8 @@
 	return w.cold(b, r)
 }
 
-// HeldEnds returns how many back ends ended under a quarantined work, 0 for others.
+// HeldEnds returns how many back ends terminated while they ran a quarantined request, 0 if
+// the request is not quarantined.
 func (w *World) HeldEnds(work fingerprint.Fingerprint) int {
 	if work.IsZero() || w.Held == nil {
 		return 0
@@ -87,10 +92,11 @@
 	return w.Held(work)
 }
 
-// May tells whether a back end may get a request.
+// May reports whether a back end may get a request.
 func (w *World) May(b *fleet.Backend, r Request) bool { return w.Decide(b, r) == nil }
 
-// cold judges whether a cold back end may get the request besides what it gets.
+// cold checks the rate limit of a cold back end. Warm requests are refused even below the
+// limit.
 func (w *World) cold(b *fleet.Backend, r Request) Reason {
 	left := b.ColdUntil.Sub(w.Now)
 	if left <= 0 || w.Turns == nil {
@@ -103,7 +109,7 @@
 	return Cold{Left: left}
 }
 
-// standing judges what holds for a back end whatever it has loaded.
+// standing checks everything that does not depend on the models of a back end.
 func (w *World) standing(b *fleet.Backend, r Request) Reason {
 	if b.Draining {
 		return Draining{}
@@ -120,7 +126,8 @@
 	return nil
 }
 
-// holds judges the back end's weights.
+// holds checks the model and its version. A back end without known models passes unless
+// Weights is set.
 func holds(b *fleet.Backend, r Request) Reason {
 	if r.Model == "" {
 		return nil
@@ -139,17 +146,18 @@
 	return nil
 }
 
-// Survey says how the back ends of a service stand to a request.
+// Survey is a summary of the eligibility of back ends for a request.
 type Survey struct {
+	// Eligible counts the eligible back ends.
 	Eligible int
-	// Reasons counts the others by the label of the reason.
+	// Reasons counts the other back ends by the label of the reason.
 	Reasons map[string]int
-	// Warm is the least time after which one that is cold no longer is, or may get one
-	// more; 0 if none is cold.
+	// Warm is the shortest time until one of the cold back ends may get a request; 0 if
+	// none is excluded as cold.
 	Warm time.Duration
 }
 
-// Survey counts how back ends stand to a request. It is pure.
+// Survey summarizes the eligibility of back ends for a request. It is a pure function.
 func (w *World) Survey(backends []fleet.Backend, r Request) Survey {
 	survey := Survey{Reasons: make(map[string]int)}
 	for i := range backends {
@@ -166,7 +174,7 @@
 	return survey
 }
 
-// roomAfter returns after which time a cold back end may get a request.
+// roomAfter returns the time until a cold back end is warm or may get another request.
 func (w *World) roomAfter(b *fleet.Backend, cold Cold) time.Duration {
 	if w.NextTurn == nil {
 		return cold.Left
@@ -177,6 +185,7 @@
 	return cold.Left
 }
 
+// noteRoom lowers Warm to after.
 func (s *Survey) noteRoom(after time.Duration) {
 	if s.Warm == 0 || after < s.Warm {
 		s.Warm = after
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -32,27 +32,27 @@
 		request Request
 		want    Reason
 	}{
-		{"nothing against it", nil, World{}, Request{Model: "m", Weights: true, MinVersion: 3}, nil},
-		{"leaving", func(b *fleet.Backend) { b.Draining = true }, World{}, Request{}, Draining{}},
+		{"eligible", nil, World{}, Request{Model: "m", Weights: true, MinVersion: 3}, nil},
+		{"draining", func(b *fleet.Backend) { b.Draining = true }, World{}, Request{}, Draining{}},
 		{"evacuated", nil, World{Evacuations: evacuated}, Request{}, Evacuated{Zone: "n1", For: time.Second}},
 		{"another zone is evacuated", func(b *fleet.Backend) { b.Zone = "s1" }, World{Evacuations: evacuated}, Request{}, nil},
-		{"own region", nil, World{}, Request{Regions: place.NewRegions("north")}, nil},
+		{"allowed region", nil, World{}, Request{Regions: place.NewRegions("north")}, nil},
 		{"another region", nil, World{}, Request{Regions: place.NewRegions("south")}, OtherRegion{Region: "north", Allowed: "south"}},
-		{"region not known", func(b *fleet.Backend) { b.Zone = "x" }, World{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
-		{"no region is left", nil, World{}, Request{Regions: place.NewRegions("north").And(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
-		{"old beliefs, patient", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Patient: true}, BeliefsOld{Age: 6 * time.Second}},
-		{"old beliefs, a caller waits", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
-		{"old beliefs, no limit", nil, World{Age: 6 * time.Second}, Request{Patient: true}, nil},
+		{"unknown region", func(b *fleet.Backend) { b.Zone = "x" }, World{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
+		{"no allowed region", nil, World{}, Request{Regions: place.NewRegions("north").And(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
+		{"evacuations out of date, request of a job", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Patient: true}, BeliefsOld{Age: 6 * time.Second}},
+		{"evacuations out of date, live request", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
+		{"evacuations out of date, no limit", nil, World{Age: 6 * time.Second}, Request{Patient: true}, nil},
 		{"another model", nil, World{}, Request{Model: "n"}, NoModel{}},
-		{"no models known, a plain service", func(b *fleet.Backend) { b.Models = nil }, World{}, Request{Model: "n"}, nil},
-		{"no models known, weights count", func(b *fleet.Backend) { b.Models = nil }, World{}, Request{Model: "n", Weights: true}, NoModel{}},
-		{"weights too old", nil, World{}, Request{Model: "m", Weights: true, MinVersion: 4}, OtherWeights{Version: 3}},
-		{"not the only weights", nil, World{}, Request{Model: "m", Weights: true, Version: 2}, OtherWeights{Version: 3}},
+		{"no models known, versions not checked", func(b *fleet.Backend) { b.Models = nil }, World{}, Request{Model: "n"}, nil},
+		{"no models known, versions checked", func(b *fleet.Backend) { b.Models = nil }, World{}, Request{Model: "n", Weights: true}, NoModel{}},
+		{"version too old", nil, World{}, Request{Model: "m", Weights: true, MinVersion: 4}, OtherWeights{Version: 3}},
+		{"not the only allowed version", nil, World{}, Request{Model: "m", Weights: true, Version: 2}, OtherWeights{Version: 3}},
 		{"loading", func(b *fleet.Backend) { b.LoadingModel = "m" }, World{}, Request{Model: "m", Weights: true}, Loading{}},
 		{"loading another model", func(b *fleet.Backend) { b.LoadingModel = "n" }, World{}, Request{Model: "m", Weights: true}, nil},
-		{"cold, a turn left", cold, World{Turns: func(*fleet.Backend) int { return 1 }}, Request{}, nil},
-		{"cold, no turn left", cold, World{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, Cold{Left: 2 * time.Second}},
-		{"warm again", func(b *fleet.Backend) { b.ColdUntil = now }, World{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, nil},
+		{"cold, below the limit", cold, World{Turns: func(*fleet.Backend) int { return 1 }}, Request{}, nil},
+		{"cold, limit reached", cold, World{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, Cold{Left: 2 * time.Second}},
+		{"no longer cold", func(b *fleet.Backend) { b.ColdUntil = now }, World{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, nil},
 	}
 	for _, test := range cases {
 		b := backend(test.change)
@@ -73,7 +73,7 @@
 	world := World{Now: now, Turns: func(*fleet.Backend) int { return 0 }}
 	survey := world.Survey(backends, Request{})
 	if survey.Eligible != 1 || survey.Reasons["draining"] != 1 || survey.Reasons["cold"] != 2 || survey.Warm != time.Second {
-		t.Errorf("%+v", survey)
+		t.Errorf("Survey returned %+v", survey)
 	}
 }
 
@@ -87,11 +87,12 @@
 	return gate, backends, book
 }
 
-// TestAdmitDecidesAnew: what has changed since a back end was chosen counts.
+// TestAdmitDecidesAnew checks that Admit uses the state at the time of the call and not that
+// of the choice of the back end.
 func TestAdmitDecidesAnew(t *testing.T) {
 	gate, backends, book := newTestGate(1, 0)
 	if got := LabelOf(gate.Admit("b", Request{})); got != "gone" {
-		t.Errorf("a back end that is not there: %q", got)
+		t.Errorf("unknown back end: label %q, want \"gone\"", got)
 	}
 	backends.Update([]fleet.Instance{{ID: "b", Zone: "n1", Revision: 1}}, nil)
 	if err := gate.Admit("b", Request{}); err != nil {
@@ -99,7 +100,7 @@
 	}
 	book.Update([]evacuation.Row{{Zone: "n1", Revision: 2}}, false, time.Now())
 	if got := LabelOf(gate.Admit("b", Request{})); got != "evacuated" {
-		t.Errorf("after an evacuation: %q", got)
+		t.Errorf("evacuated zone: label %q, want \"evacuated\"", got)
 	}
 	book.Update([]evacuation.Row{{Zone: "n1", Revision: 3, Removed: true}}, false, time.Now())
 	if err := gate.Admit("b", Request{}); err != nil {
@@ -107,7 +108,7 @@
 	}
 }
 
-// TestAdmitTakesTurns: two calls that were chosen for the same turn do not both go out.
+// TestAdmitTakesTurns checks that a call to a cold back end uses up the node's share.
 func TestAdmitTakesTurns(t *testing.T) {
 	gate, backends, _ := newTestGate(1, 0)
 	backends.Update([]fleet.Instance{{ID: "b", Revision: 1, Cold: time.Minute}}, nil)
@@ -115,12 +116,12 @@
 		t.Error(err)
 	}
 	if got := LabelOf(gate.Admit("b", Request{})); got != "cold" {
-		t.Errorf("second call: %q", got)
+		t.Errorf("second call: label %q, want \"cold\"", got)
 	}
 }
 
-// TestFrozenSenderKeepsToItsShare: calls that were chosen while the process stood still
-// all ask when it wakes, and no more go out than its share.
+// TestFrozenSenderKeepsToItsShare guards against a burst beyond the node's share when many
+// delayed calls are sent at once after the process was suspended.
 func TestFrozenSenderKeepsToItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate, backends, _ := newTestGate(3, 0)
@@ -135,7 +136,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		if sent.Load() != 3 {
-			t.Errorf("%d sent", sent.Load())
+			t.Errorf("%d calls sent, want 3", sent.Load())
 		}
 	})
 }
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -15,33 +15,34 @@
 	Fleet       *fleet.Fleet
 	Evacuations *evacuation.Book
 	Zones       place.Map
-	// Held is World.Held.
+	// Held is used as World.Held.
 	Held func(work fingerprint.Fingerprint) int
-	// Age returns how long ago the store confirmed the evacuations last, and AgeMost the
-	// age up to which patient requests may rely on them, 0 for any.
-	Age     func(now time.Time) time.Duration
+	// Age returns the time since the store last confirmed the evacuations.
+	Age func(now time.Time) time.Duration
+	// AgeMost is used as World.AgeMost.
 	AgeMost time.Duration
-	// Share returns how many requests in a second this node may send to a cold back end,
-	// coldstart.Unbounded where nothing bounds them.
+	// Share returns how many requests per second this node may send to a cold back end, or
+	// coldstart.Unbounded.
 	Share func(backend *fleet.Backend, now time.Time) int
-	// Observe is told of each call that was withheld at the moment of sending, by label
-	// of the reason; ObserveTurn of each that went to a cold back end of a service. Both
+	// Observe is called with the label of the reason for each call that Admit refuses. It
 	// may be nil.
-	Observe     func(label string)
+	Observe func(label string)
+	// ObserveTurn is called for each call that Admit admits to a cold back end. It may be
+	// nil.
 	ObserveTurn func(service string)
 }
 
-// Gate holds what eligibility is decided from, and lets calls through to back ends. It
-// is safe for concurrent use.
+// Gate checks calls to back ends immediately before they are sent. It is safe for concurrent
+// use.
 type Gate struct {
 	config Config
 	turns  *coldstart.Turns
 }
 
-// NewGate returns a gate.
+// NewGate returns a Gate for a configuration.
 func NewGate(config Config) *Gate { return &Gate{config: config, turns: coldstart.NewTurns()} }
 
-// World returns what the node believes now.
+// World returns a snapshot of the node's state.
 func (g *Gate) World(now time.Time) *World {
 	return &World{
 		Now: now, Held: g.config.Held, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
@@ -51,8 +52,8 @@
 	}
 }
 
-// nextTurn returns after which time this node may send one more to a cold back end, 0 if
-// it has no share.
+// nextTurn returns the time until this node may send another request to a cold back end, 0
+// if its share is 0.
 func (g *Gate) nextTurn(b *fleet.Backend, now time.Time) time.Duration {
 	next := g.turns.Next(b.ID, g.config.Share(b, now), now)
 	if next.IsZero() {
@@ -61,8 +62,8 @@
 	return next.Sub(now)
 }
 
-// Admit lets a call through to a back end, whose turn it takes if that is cold, or
-// returns an *Error. It is asked at the moment of sending.
+// Admit returns nil if a call may be sent to a back end now, otherwise an *Error. A call to
+// a cold back end is counted against the node's share. Call it immediately before sending.
 func (g *Gate) Admit(backend string, r Request) error {
 	now := time.Now()
 	reason := g.decide(backend, r, now)
@@ -75,6 +76,7 @@
 	return &Error{Reason: reason}
 }
 
+// decide returns the reason to refuse a call, nil if it is admitted.
 func (g *Gate) decide(backend string, r Request, now time.Time) Reason {
 	b, found := g.config.Fleet.Get(backend, now)
 	if !found {
@@ -90,7 +92,8 @@
 	return nil
 }
 
-// takeTurn takes a turn at a cold back end.
+// takeTurn counts a call to a cold back end, or returns Cold if the node's share is used up:
+// a concurrent call may have taken the rest of it since World.Decide.
 func (g *Gate) takeTurn(b *fleet.Backend, left time.Duration, now time.Time) Reason {
 	if !g.turns.Take(b.ID, g.config.Share(b, now), now) {
 		return Cold{Left: left}
--- a/internal/gatewaynode/eligibility/reason.go
+++ b/internal/gatewaynode/eligibility/reason.go
@@ -6,54 +6,67 @@
 	"time"
 )
 
-// Reason is why a back end may not get a request. It is one of the types below; a nil
-// Reason means that it may.
+// Reason is the reason why a back end may not get a request. The implementations are the
+// types of this file. A nil Reason means that the back end is eligible.
 type Reason interface {
-	// Label names the reason in logs and metrics; there are few labels.
+	// Label returns the name of the reason in logs and metrics. It is constant per type.
 	Label() string
 	fmt.Stringer
 }
 
-// Gone says that the registry no longer holds the back end.
+// Gone means that the registry no longer lists the back end.
 type Gone struct{}
 
-// Draining says that the back end is leaving.
+// Draining means that the back end is shutting down and accepts no new requests.
 type Draining struct{}
 
-// Evacuated says that the back end's zone is to get nothing.
+// Evacuated means that the zone of the back end is evacuated.
 type Evacuated struct {
 	Zone string
-	// For is how long this node has known it.
+	// For is the time since this node learned of the evacuation.
 	For time.Duration
 }
 
-// OtherRegion says that the back end's region may not serve the request.
+// OtherRegion means that the request may not be served in the region of the back end.
 type OtherRegion struct {
-	Region  string
+	// Region is the region of the back end, empty if unknown.
+	Region string
+	// Allowed lists the allowed regions.
 	Allowed string
 }
 
-// BeliefsOld says that the node cannot tell whether the zone is evacuated.
-type BeliefsOld struct{ Age time.Duration }
+// BeliefsOld means that the node's list of evacuations is out of date, so that the zone may
+// be evacuated.
+type BeliefsOld struct {
+	// Age is the time since the store last confirmed the list.
+	Age time.Duration
+}
 
-// NoModel says that the back end does not hold the model.
+// NoModel means that the back end does not hold the model.
 type NoModel struct{}
 
-// OtherWeights says that the back end's weights are older than the oldest version that
-// may answer, or not of the only one that may.
-type OtherWeights struct{ Version int64 }
+// OtherWeights means that the back end's version of the model is not among the allowed ones.
+type OtherWeights struct {
+	// Version is the version that the back end holds.
+	Version int64
+}
 
-// Loading says that the back end's weights of the model are being changed.
+// Loading means that the back end is loading weights of the model.
 type Loading struct{}
 
-// Cold says that the back end is cold and that this node has no turn left.
+// Cold means that the back end is cold and that this node may not send it the request: its
+// share is used up, or the request waits for warm back ends.
 type Cold struct {
 	// Left is how much longer the back end is expected to be cold.
 	Left time.Duration
 }
 
-// Quarantined says that back ends ended under what the request asks for: none is to run it.
-type Quarantined struct{ Ends int }
+// Quarantined means that back ends terminated while they ran equal requests. No back end may
+// get the request.
+type Quarantined struct {
+	// Ends is the number of these back ends.
+	Ends int
+}
 
 // Label implements Reason.
 func (Quarantined) Label() string { return LabelQuarantined }
@@ -97,7 +110,7 @@
 func (Gone) String() string { return "no longer in the registry" }
 
 // String implements fmt.Stringer.
-func (Draining) String() string { return "leaving" }
+func (Draining) String() string { return "draining" }
 
 // String implements fmt.Stringer.
 func (r Evacuated) String() string {
@@ -106,7 +119,7 @@
 
 // String implements fmt.Stringer.
 func (r OtherRegion) String() string {
-	return fmt.Sprintf("region %q may not serve it, allowed: %q", r.Region, r.Allowed)
+	return fmt.Sprintf("region %q is not allowed for the request, allowed: %q", r.Region, r.Allowed)
 }
 
 // String implements fmt.Stringer.
@@ -128,10 +141,11 @@
 	return fmt.Sprintf("cold for %d ms more, no turn left", r.Left.Milliseconds())
 }
 
-// Error is a Reason as an error: a call was not sent since its back end may not get it.
+// Error is the error for a call that was not sent because the back end is not eligible.
 type Error struct{ Reason Reason }
 
-// LabelOf returns the label of the reason that an error tells, empty if it tells none.
+// LabelOf returns the label of the Reason of an *Error in the chain of err, empty if there is
+// none.
 func LabelOf(err error) string {
 	var withheld *Error
 	if errors.As(err, &withheld) {
@@ -141,4 +155,4 @@
 }
 
 // Error implements error.
-func (e *Error) Error() string { return "back end may not get it: " + e.Reason.String() }
+func (e *Error) Error() string { return "back end is not eligible: " + e.Reason.String() }
--- a/internal/gatewaynode/eligibility/senders_test.go
+++ b/internal/gatewaynode/eligibility/senders_test.go
@@ -13,31 +13,31 @@
 	"testing"
 )
 
-// senders are the functions that build a call to another process or make a client of
-// one, and how it is decided that the call may go there.
+// senders lists the functions that make a call to another process or a client for one, with
+// the check that such calls pass or the reason why they need none.
 var senders = map[string]string{
-	"forward.try.call":          "asks Gate.Admit",
-	"batch.run.call":            "asks Gate.Admit",
-	"batch.scoreCall.send":      "asks Gate.Admit",
-	"platform.Commander.Order":  "sends by Commander.call, which asks Commander.admit, Gate.Admit, and then the lease's permit",
-	"platform.Commander.Report": "sends by Commander.call, which asks Commander.admit, which is Gate.Admit",
-	"platform.Front.relayed":    "goes to a node, over a client of its own",
-	"storenode.New":             "client of back ends: MustAdmit; client of nodes: reaches no back end",
-	"upstream.NewClient":        "sends calls alone",
-	"storenode.probeDialer":     "makes connections that carry nothing",
-	"platform.Store.Commit":     "goes to the store",
-	"platform.Store.List":       "goes to the store",
-	"platform.Store.Watch":      "goes to the store",
-	"platform.Duties.call":      "goes to the platform's interface for duties",
-	"gateway.newStore":          "goes to the store",
-	"gateway.newMetering":       "goes to the platform's interface for duties",
-	"gateway.run":               "goes to nodes, for the store",
+	"forward.try.call":          "checked by Gate.Admit",
+	"batch.run.call":            "checked by Gate.Admit",
+	"batch.scoreCall.send":      "checked by Gate.Admit",
+	"platform.Commander.Order":  "sends by Commander.call, which checks Commander.admit, which is Gate.Admit, and then the lease's permit",
+	"platform.Commander.Report": "sends by Commander.call, which checks Commander.admit, which is Gate.Admit",
+	"platform.Front.relayed":    "sends to nodes only, with a client of its own",
+	"storenode.New":             "client for back ends: MustAdmit; client for nodes: cannot reach back ends",
+	"upstream.NewClient":        "sends only upstream.Call values",
+	"storenode.probeDialer":     "opens connections without sending data",
+	"platform.Store.Commit":     "sends to the store",
+	"platform.Store.List":       "sends to the store",
+	"platform.Store.Watch":      "sends to the store",
+	"platform.Duties.call":      "sends to the platform's interface for duties",
+	"gateway.newStore":          "sends to the store",
+	"gateway.newMetering":       "sends to the platform's interface for duties",
+	"gateway.run":               "sends to nodes, for the store",
 }
 
-// TestEverySenderIsDecided: whoever adds a place that sends to a back end has to say here
-// how it is decided what may go there. A call to a back end asks by upstream.Call.Admit;
-// a connection past the upstream client is none of the product's but to the store, to
-// duties and between nodes.
+// TestEverySenderIsDecided guards against calls to back ends that bypass Gate.Admit: each
+// function that can send must be listed in senders. Calls to back ends set
+// upstream.Call.Admit. Only calls to the store, to duties and between nodes may avoid the
+// upstream client.
 func TestEverySenderIsDecided(t *testing.T) {
 	found := make(map[string]string)
 	for _, root := range []string{"../../gatewaynode", "../../../platform", "../../../cmd/sliplift-gateway"} {
@@ -58,17 +58,17 @@
 	}
 	for _, place := range slices.Sorted(maps.Keys(found)) {
 		if senders[place] == "" {
-			t.Errorf("%s, %s: nothing says how it is decided what may be sent there", place, found[place])
+			t.Errorf("%s is not listed in senders: %s", place, found[place])
 		}
 	}
 	for place := range senders {
 		if found[place] == "" {
-			t.Errorf("%s no longer sends anything", place)
+			t.Errorf("%s is listed in senders but makes no call or client", place)
 		}
 	}
 }
 
-// findSenders notes the functions of a file that build calls or make clients.
+// findSenders adds the functions of a file that make calls or clients to found.
 func findSenders(t *testing.T, path string, found map[string]string) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -94,7 +94,8 @@
 	}
 }
 
-// receiver returns the type that a function is a method of, with a point after it.
+// receiver returns the name of a method's receiver type followed by a dot, empty for other
+// functions.
 func receiver(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
@@ -109,7 +110,8 @@
 	return ""
 }
 
-// sends tells what a node of a syntax tree makes that sends, empty if nothing.
+// sends returns the type or function by which a syntax node makes a call or a client, empty
+// if it makes none.
 func sends(node ast.Node) string {
 	switch n := node.(type) {
 	case *ast.CompositeLit:
@@ -125,6 +127,8 @@
 	return ""
 }
 
+// selected returns a selector expression in the form package.Name, empty for other
+// expressions.
 func selected(expression ast.Expr) string {
 	selector, is := expression.(*ast.SelectorExpr)
 	if !is {
