--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestAdmitTakesTurns checks that a call to a cold back end uses up the node's share.
-func TestAdmitTakesTurns(t *testing.T) {
+// TestAdmitCountsColdCalls checks that a call to a cold back end uses up the node's share.
+func TestAdmitCountsColdCalls(t *testing.T) {
 	gate, backends, _ := newTestGate(1, 0)
 	backends.Update([]fleet.Instance{{ID: "b", Revision: 1, Cold: time.Minute}}, nil)
 	if err := gate.Admit("b", Request{}); err != nil {
--- a/internal/gatewaynode/fingerprint/fingerprint_test.go
+++ b/internal/gatewaynode/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fingerprint"
 )
 
-func TestWorkIsTheSameByHostTargetTenantAndBody(t *testing.T) {
+func TestFingerprintCoversHostTargetTenantAndBody(t *testing.T) {
 	key := fingerprint.NewKey()
 	base := fingerprint.Work{Host: "h", Target: "/a/b", Tenant: "t", Body: []byte("body")}
 	copied := base
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestParseReadsWhatStringWrote(t *testing.T) {
+func TestParseAcceptsOnlyOutputOfString(t *testing.T) {
 	key := fingerprint.NewKey()
 	want := key.Of(fingerprint.Work{Body: []byte("x")})
 	got, err := fingerprint.Parse(want.String())
--- a/internal/gatewaynode/fleet/fleet_test.go
+++ b/internal/gatewaynode/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	return Instance{ID: id, Service: "s", Slots: 4, Draining: draining, Models: map[string]int64{"m": 1}, Revision: revision}
 }
 
-func TestRegistryDoesNotGoBack(t *testing.T) {
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 5, true)}, nil)
 	fleet.Update([]Instance{instance("a", 4, false)}, nil)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestLoadedVersionCountsBeforeTheRegistrySaysSo(t *testing.T) {
+func TestMarkVersionPrecedesRegistry(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	fleet.MarkVersion("a", "m", 3)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSuspensionGrowsWithFailuresInARow(t *testing.T) {
+func TestSuspensionGrowsWithConsecutiveFailures(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	now := now
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestLoadOfOthersIsForgotten(t *testing.T) {
+func TestReportedLoadExpires(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	end := fleet.Begin("a")
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestPaceFollowsTimeNotEvents(t *testing.T) {
+func TestPaceIsWeightedByTime(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	at := now
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestLoadingEnds(t *testing.T) {
+func TestLoadingModelExpires(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	fleet.MarkLoading("a", "m", now.Add(time.Second))
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestSnapshotsDoNotChange(t *testing.T) {
+func TestSnapshotsAreImmutable(t *testing.T) {
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("b", 1, false), instance("a", 2, false), instance("c", 3, false)}, nil)
 	before := fleet.Service("s", now)
