--- a/internal/gatewaynode/quarantine/answered.go
+++ b/internal/gatewaynode/quarantine/answered.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// answeredMost is how many works a node remembers that were answered with success: at
-	// 300 requests in a second, as many as the last seven seconds brought. It takes 150 kB.
+	// answeredMost bounds the successful works that a node remembers, to about 150 kB. At
+	// 300 requests per second it covers seven seconds.
 	answeredMost = 2048
-	// answeredKeep is for how long a success speaks for a work. After a release, back ends
-	// may end under what others still run.
+	// answeredKeep is how long a success overrules evidence against a work. It is short
+	// because a work that was harmless before a release may be deadly after it.
 	answeredKeep = 10 * time.Second
 )
 
-// answered remembers the works that were answered with success last.
+// answered holds the works that succeeded last.
 type answered struct {
-	at   map[fingerprint.Fingerprint]time.Time
+	at map[fingerprint.Fingerprint]time.Time
+	// ring holds the keys of at in the order of their insertion, the oldest at next once
+	// it is full.
 	ring []fingerprint.Fingerprint
 	next int
 }
@@ -42,7 +44,7 @@
 	a.next = (a.next + 1) % answeredMost
 }
 
-// lately tells whether a work was answered with success a short time before now.
+// lately reports whether a work succeeded within answeredKeep before now.
 func (a *answered) lately(work fingerprint.Fingerprint, now time.Time) bool {
 	at, known := a.at[work]
 	return known && now.Sub(at) < answeredKeep
--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -21,50 +21,53 @@
 	// Node is the name of this node.
 	Node string
 	Log  *eventlog.Log
-	// Dial makes a connection to a back end.
+	// Dial opens the connections that probe back ends.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Backend returns what the registry says of a back end.
+	// Backend returns the registry's entry for a back end.
 	Backend func(id string) Registered
-	// Store takes the evidence.
+	// Store holds the rows of Table.
 	Store rowstore.Store
-	// OnHeld is called when a work was quarantined or cleared; it may be nil.
+	// OnHeld, if not nil, is called in a new goroutine after the set of quarantined works or
+	// their number of failures changed.
 	OnHeld func()
 }
 
-// Registered is what the registry says of a back end.
+// Registered is the registry's entry for a back end; Present is false if there is none.
 type Registered struct {
 	Present, Leaving bool
 	Service          string
 }
 
-// suspectsMost bounds the works that a node remembers: some 2 MB.
+// suspectsMost bounds the suspected works that a node remembers, to about 2 MB.
 const suspectsMost = 4096
 
-// Book is what a node knows of requests that end their back ends. It is safe for
-// concurrent use.
+// Book attributes failures of back ends to the works that they were running and decides
+// which works are quarantined. It is safe for concurrent use.
 type Book struct {
 	config Config
-	// key is what fingerprints are made with, nil until the store has told.
+	// key is the fingerprint key, nil until it has been read from the store or written to it.
 	key atomic.Pointer[fingerprint.Key]
 
 	mu       sync.Mutex
 	backends map[string]*backend
-	// runs counts the runs of all backends; unfollowed, the calls that were not followed.
+	// runs is the number of runs in backends; unfollowed counts the calls that were not
+	// followed since there were too many.
 	runs, unfollowed int
-	// probes counts the probes under way.
+	// probes is the number of probes in progress.
 	probes   int
 	suspects map[fingerprint.Fingerprint]*suspect
 	answered *answered
 	outbox   outbox
-	// failures counts the writes that failed in a row, for Run alone; telling tells that
-	// other nodes are being told.
+	// failures is the number of consecutive failed writes. Only Run uses it.
 	failures int
-	telling  atomic.Bool
-	// held is what Held reads; it is replaced, never changed.
+	// telling reports whether a Writer.Tell is in progress.
+	telling atomic.Bool
+	// held maps quarantined works to their number of ends. It is copied on write, so that
+	// Held needs no lock.
 	held atomic.Pointer[map[fingerprint.Fingerprint]int]
 }
 
-// New returns a book that knows nothing.
+// New returns an empty Book.
 func New(config Config) *Book {
 	b := &Book{
 		config: config, backends: make(map[string]*backend), suspects: make(map[fingerprint.Fingerprint]*suspect),
@@ -74,17 +77,20 @@
 	return b
 }
 
-// Held returns how many back ends ended under a work that is quarantined, 0 if it is not.
+// Held returns the number of back ends that failed while running a quarantined work, or 0 if
+// the work is not quarantined.
 func (b *Book) Held(work fingerprint.Fingerprint) int { return (*b.held.Load())[work] }
 
-// HeldCount returns how many works are quarantined, and how many are suspected.
+// HeldCount returns the number of quarantined works and of all suspected works, the
+// quarantined ones included.
 func (b *Book) HeldCount() (held, suspected int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(*b.held.Load()), len(b.suspects)
 }
 
-// record takes an end that this node saw. The lock is held.
+// record adds an end that this node detected, unless a recent success speaks against it.
+// The caller holds b.mu.
 func (b *Book) record(end End, now time.Time) {
 	if b.answered.lately(end.Work, now) {
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
@@ -101,9 +107,9 @@
 	b.publish(b.suspects[end.Work])
 }
 
-// publish asks for the ends of a work to be written. A single end that only the registry
-// tells of stays with this node: entries lapse together while the store is away, and with
-// them all that each node has at its back ends. The lock is held.
+// publish queues the ends of a work for writing. A single HowGone failure stays local: while
+// the store is unavailable, all registry entries expire together and every unanswered call
+// would become evidence. The caller holds b.mu.
 func (b *Book) publish(s *suspect) {
 	for _, k := range s.ends {
 		alone := len(s.ends) == 1
@@ -114,8 +120,8 @@
 	}
 }
 
-// learn takes an end that another node saw, or that is in the store. A node that knows
-// better objects. The lock is held.
+// learn adds an end that comes from another node or from the store. If this node recently
+// received a success for the work, it deletes the row instead. The caller holds b.mu.
 func (b *Book) learn(k known) {
 	if b.answered.lately(k.Work, k.at) {
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
@@ -127,10 +133,11 @@
 	b.add(k)
 }
 
-// causeAnswered is why evidence is dropped that a success speaks against.
+// causeAnswered is the logged cause when a recent success overrules an end.
 const causeAnswered = "answered with success a moment ago"
 
-// add takes an end and tells whether it is new. The lock is held.
+// add adds an end and reports whether it is new, or confirms a silent one. The caller holds
+// b.mu.
 func (b *Book) add(k known) bool {
 	s := b.suspects[k.Work]
 	if s == nil {
@@ -153,8 +160,9 @@
 	return true
 }
 
-// saySuspected tells of an end under a work. First ends are told of by the line of the back
-// end: under one that has a hundred requests, all are suspected. The lock is held.
+// saySuspected logs an end of a work from the second on. The first ends are covered by the
+// event for the back end, since its failure makes all of its unanswered requests suspects.
+// The caller holds b.mu.
 func (b *Book) saySuspected(s *suspect, k known) {
 	count := s.count(k.at)
 	if count < 2 {
@@ -166,8 +174,8 @@
 	})
 }
 
-// evict forgets the work with the fewest ends, of those the one that changed first. The
-// lock is held.
+// evict forgets the work with the fewest ends, and among equals the one that has not changed
+// for longest. The caller holds b.mu.
 func (b *Book) evict() {
 	var least *suspect
 	for _, s := range b.suspects {
@@ -181,7 +189,7 @@
 	b.forget(least, true)
 }
 
-// judge quarantines a work or clears it, by the ends that are known. The lock is held.
+// judge quarantines or releases a work by its number of ends. The caller holds b.mu.
 func (b *Book) judge(s *suspect, now time.Time) {
 	count := s.count(now)
 	held := count >= DeadlyEnds
@@ -203,8 +211,8 @@
 	b.config.Log.Warn(eventlog.Quarantined, fields)
 }
 
-// setHeld records the ends of a quarantined work, 0 for one that is no longer. The lock is
-// held.
+// setHeld sets the number of ends of a quarantined work, or removes the work from the
+// quarantine if ends is 0. The caller holds b.mu.
 func (b *Book) setHeld(work fingerprint.Fingerprint, ends int) {
 	next := maps.Clone(*b.held.Load())
 	if ends == 0 {
@@ -218,8 +226,8 @@
 	}
 }
 
-// cutRuns ends the calls of a work that are under way: they may still wait for a place at
-// their back ends. It returns their number. The lock is held.
+// cutRuns cancels the calls of a work that are in progress, as they may still be queued at
+// their back ends. It returns their number. The caller holds b.mu.
 func (b *Book) cutRuns(work fingerprint.Fingerprint) int {
 	count := 0
 	for _, held := range b.backends {
@@ -233,8 +241,7 @@
 	return count
 }
 
-// succeeded takes a whole answer with success: the work does not end what runs it. The
-// lock is held.
+// succeeded clears a work after a complete 2xx response. The caller holds b.mu.
 func (b *Book) succeeded(r *run, now time.Time) {
 	work := r.work
 	b.answered.add(work, now)
@@ -249,7 +256,8 @@
 	b.forget(s, true)
 }
 
-// Lift clears a work by an operator's word, and tells whether it was suspected.
+// Lift clears a work on all nodes at an operator's request and reports whether it was
+// suspected.
 func (b *Book) Lift(work fingerprint.Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -262,7 +270,8 @@
 	return true
 }
 
-// forget clears a work; everywhere takes its rows away too. The lock is held.
+// forget removes a work from this node and, if everywhere is set, its rows from the store.
+// The caller holds b.mu.
 func (b *Book) forget(s *suspect, everywhere bool) {
 	if everywhere {
 		for _, k := range s.ends {
@@ -276,7 +285,7 @@
 	}
 }
 
-// withdraw takes an end back. The lock is held.
+// withdraw removes an end from this node. The caller holds b.mu.
 func (b *Book) withdraw(s *suspect, id endID, now time.Time) {
 	delete(s.ends, id)
 	s.touch(now)
@@ -287,7 +296,7 @@
 	b.judge(s, now)
 }
 
-// Suspects returns what is known of all works, those with the most ends first.
+// Suspects returns all suspected works, those with the most ends first.
 func (b *Book) Suspects() []Suspect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -306,7 +315,9 @@
 	return list
 }
 
-// RegistryChanged takes that the registry of back ends changed.
+// RegistryChanged compares the followed back ends with the registry and must be called after
+// each change of it. Calls to a back end without an entry count as evidence, and a HowGone
+// end of this node is withdrawn if the entry is back.
 func (b *Book) RegistryChanged() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -332,7 +343,7 @@
 	}
 }
 
-// age forgets what is old.
+// age removes expired runs and ends.
 func (b *Book) age(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -355,7 +366,8 @@
 	}
 }
 
-// dropPresumed takes back the ends that nothing has confirmed. The lock is held.
+// dropPresumed withdraws the silent ends that expired without a confirmation. The caller
+// holds b.mu.
 func (b *Book) dropPresumed(s *suspect, now time.Time) {
 	for id, k := range s.ends {
 		if !k.counts(now) {
@@ -364,15 +376,15 @@
 	}
 }
 
-// Dropped returns how many calls were not followed, and how many rows not written, since
-// there was no room.
+// Dropped returns the number of calls that were not followed and of row changes that were
+// not queued since a bound was reached.
 func (b *Book) Dropped() (calls, rows int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.unfollowed, b.outbox.dropped
 }
 
-// sayEnded tells of a back end that ended. The lock is held.
+// sayEnded logs the failure of a back end that had unanswered calls. The caller holds b.mu.
 func (b *Book) sayEnded(held *backend, how How, count int, works map[string]bool) {
 	if count == 0 {
 		return
@@ -384,5 +396,5 @@
 	})
 }
 
-// worksSaid bounds the works that a line names.
+// worksSaid bounds the works listed in one log event.
 const worksSaid = 16
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/book_test.go
@@ -21,16 +21,17 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// scene is one node's book, with back ends whose state a script sets.
+// scene is the book of one node, with back ends whose state a script sets.
 type scene struct {
 	book     *Book
 	store    *rowstoretest.Store
 	backends map[string]Registered
-	// dials says how each back end takes a connection: "refused", "silent" or, by default,
-	// it does.
+	// dials maps back ends to the outcome of a dial: "refused", "silent" (a timeout) or, by
+	// default, success.
 	dials  map[string]string
 	traces map[string]upstream.Trace
-	cut    []string
+	// cut lists the cancelled calls since the last show.
+	cut []string
 }
 
 func newScene() *scene {
@@ -55,7 +56,7 @@
 	return near, nil
 }
 
-// workOf returns a fingerprint that begins with a name.
+// workOf returns a fingerprint that spells a name, for nameOf.
 func workOf(name string) fingerprint.Fingerprint {
 	var f fingerprint.Fingerprint
 	copy(f[:], name)
@@ -77,8 +78,8 @@
 	return otherwise
 }
 
-// act carries out one command of a script. The first argument names a call, a back end, a
-// work or a time.
+// act runs one command of a script. Its first argument is a call, a back end, a work or a
+// duration, depending on the command.
 func (s *scene) act(d *datadriven.TestData) (string, error) {
 	name := ""
 	if len(d.CmdArgs) > 0 {
@@ -126,8 +127,8 @@
 	return s.show(), nil
 }
 
-// show tells what the book holds: works with their ends, what waits to be written, and the
-// calls that were cut.
+// show returns the suspected works with their ends, the lengths of the queue, and the calls
+// that were cancelled since the last show.
 func (s *scene) show() string {
 	var out strings.Builder
 	for _, suspect := range s.book.Suspects() {
@@ -157,8 +158,7 @@
 	return out.String()
 }
 
-// TestBook plays the scripts, each part between two lines of "new" in a book of its own and
-// in virtual time.
+// TestBook runs the script in virtual time. The command "new" starts with an empty book.
 func TestBook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
@@ -176,8 +176,8 @@
 	})
 }
 
-// TestBoundsOfABook: what is over them is dropped and counted, and works with more ends are
-// kept.
+// TestBoundsOfABook checks that a full book evicts the works with the fewest ends and that
+// the queue stays bounded.
 func TestBoundsOfABook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
@@ -191,13 +191,13 @@
 			t.Errorf("%d works suspected, %d of them quarantined; want %d, %d", suspected, held, suspectsMost, suspectsMost/2)
 		}
 		if waiting := len(s.book.outbox.deletes); waiting > outboxMost {
-			t.Errorf("%d rows wait to be deleted", waiting)
+			t.Errorf("%d deletions queued, want at most %d", waiting, outboxMost)
 		}
 	})
 }
 
-// TestCallsOverTheBoundAreNotFollowed: a call for which there is no room is counted, its loss
-// is no evidence, and its success still clears its work.
+// TestCallsOverTheBoundAreNotFollowed checks that a call above runsMost is counted, that its
+// loss is no evidence and that its success still clears its work.
 func TestCallsOverTheBoundAreNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
@@ -211,12 +211,12 @@
 		over().End(upstream.EndLost, 0)
 		synctest.Wait()
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
-			t.Error("a call that is not followed is evidence")
+			t.Error("the loss of a call that is not followed counts as evidence")
 		}
 		s.book.Told(Message([]End{{Work: workOf("w"), Backend: "b3", How: HowRefused, Node: "n2"}}))
 		over().End(upstream.EndWhole, 200)
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
-			t.Error("a success does not clear its work")
+			t.Error("the success of a call that is not followed does not clear its work")
 		}
 		if calls, _ := s.book.Dropped(); calls != 2 {
 			t.Errorf("%d calls were not followed, want 2", calls)
@@ -224,7 +224,8 @@
 	})
 }
 
-// TestRowsAreWrittenOnceForEachEnd: two nodes that saw the same end write one row.
+// TestRowsAreWrittenOnceForEachEnd checks that two nodes that detect the same end write the
+// same row.
 func TestRowsAreWrittenOnceForEachEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
@@ -237,10 +238,10 @@
 		}
 		rows := s.store.Rows(Table)
 		if len(rows) != 1 {
-			t.Errorf("%d rows: %v", len(rows), rows)
+			t.Errorf("%d rows, want 1: %v", len(rows), rows)
 		}
 		if held := slices.Collect(maps.Keys(s.book.outbox.puts)); len(held) > 0 {
-			t.Errorf("still to write: %v", held)
+			t.Errorf("still queued: %v", held)
 		}
 	})
 }
--- a/internal/gatewaynode/quarantine/doc.go
+++ b/internal/gatewaynode/quarantine/doc.go
@@ -1,41 +1,46 @@
-// Package quarantine keeps requests that end the back ends which run them from ending
-// more: after DeadlyEnds back ends have ended under one work, no node sends it on until
-// that is forgotten.
+// Package quarantine stops requests that crash the back ends running them from reaching
+// more back ends: once DeadlyEnds back ends have failed while running the same work, no
+// node forwards that work until enough of the failures are forgotten.
+//
+// A work is what a request asks for; requests for the same work have the same
+// fingerprint (package fingerprint).
 //
 // # Evidence
 //
-// A broken connection proves nothing: it also breaks by a reset, a cut or a garbled
-// answer. A back end counts as ended under a request that it had not answered
+// A broken connection alone is no evidence: it can also result from a reset, a cancelled
+// call or a malformed response. A back end counts as failed for a request that it had not
+// answered
 //
-//   - at once, if its address refuses a new connection after that to the request broke
-//     (HowRefused): every request that was there is suspected;
-//   - once the registry no longer holds its entry, if nothing came from it any more
-//     (HowGone): it may have lost its power, so that connections are silent. If the same
-//     entry comes back that is taken back.
-//   - for a while, if its address gives no answer (HowSilent): this node alone acts on it,
-//     until the registry decides.
+//   - at once, if its address refuses a new connection after the request's connection
+//     broke (HowRefused). Every request that was unanswered there is suspected.
+//   - once the registry no longer lists the back end and nothing more has been received
+//     from it (HowGone), as after a power loss, where connections stay silent. The failure
+//     is withdrawn if the same entry reappears.
+//   - provisionally, if a new connection to its address times out (HowSilent). Only the
+//     observing node acts on this, until the registry confirms it or it expires.
 //
-// A back end that was leaving is no evidence. A whole answer with success acquits a work:
-// what has run whole does not end whatever runs it. So harmless requests that are all
-// alike are safe while back ends end for other reasons, and one that ran beside a deadly
-// one is suspected of single ends only.
+// The failure of a draining back end is ignored. A complete 2xx response clears a work,
+// since the work has then run to its end without harm. Common harmless requests are
+// therefore not quarantined while back ends fail for other reasons, and a request that ran
+// beside a deadly one collects single failures only.
 //
-// # Who knows
+// # Replication
 //
-// Evidence is a row of the store, keyed by work and end of a back end, so that writing it
-// twice is writing it once; every node follows the table and counts the rows with what it saw
-// itself. It holds no key, path or body of a caller. While the store cannot be written,
-// evidence is told to the other nodes directly and written later.
+// Each failure is a row of the store, keyed by work and failure, so that writing it twice
+// has no effect. Every node follows the table and counts the rows together with its own
+// observations. Rows hold no key, path or body of a caller. While the store cannot be
+// written, nodes send failures to each other directly and write them later.
 //
-// # Forgetting
+// # Expiry
 //
-// One end is forgotten KeepEnd after the last change of what is known of the work, then
-// the next one: a work that is deadly still ends one more back end and is quarantined
-// again. A success or an operator's word clears all of it.
+// The oldest failure of a work is forgotten KeepEnd after the last change to the work, then
+// the next one. A work that is still deadly fails one more back end and is quarantined
+// again. A success, or an operator through Handler, clears all failures of a work.
 //
 // # Bounds
 //
-// A node remembers suspectsMost works, follows runsMost calls and keeps outboxMost rows to be
-// written, firstsMost of them of works with one end. What is over these is dropped and counted
-// (Book.Dropped); works with more ends go first.
+// A node remembers at most suspectsMost works, follows runsMost calls and queues outboxMost
+// rows for writing, of which firstsMost may belong to works with a single failure. Whatever
+// exceeds these is dropped, and Book.Dropped counts calls and rows; works with fewer
+// failures are dropped first.
 package quarantine
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -11,83 +11,86 @@
 )
 
 const (
-	// DeadlyEnds is after how many ends of back ends a work is quarantined. Fewer would
-	// hold back requests that ran beside a deadly one twice, in two attempts.
+	// DeadlyEnds is the number of back-end failures that quarantines a work. With fewer, a
+	// harmless request that ran beside a deadly one in two attempts would be quarantined.
 	DeadlyEnds = 3
-	// KeepEnd is how long an end is remembered after the last change of what is known of
-	// the work.
+	// KeepEnd is how long after the last change to a work its oldest failure is forgotten.
 	KeepEnd = 10 * time.Minute
-	// keepSpread spreads over nodes when an end is forgotten: one of them takes the row away,
-	// and the others see that.
+	// keepSpread is the random addition to KeepEnd on each node, so that usually one node
+	// deletes the row and the others see it deleted.
 	keepSpread = KeepEnd / 10
-	// silentKeep is how long an end that is only presumed counts: entries of the registry
-	// lapse within 3.5 s of the last sign of a back end.
+	// silentKeep is how long an unconfirmed HowSilent failure counts. It exceeds the 3.5 s
+	// within which the registry drops a back end that stopped reporting.
 	silentKeep = 5 * time.Second
 )
 
-// How is by what a back end is known to have ended.
+// How is how the failure of a back end was detected.
 type How string
 
-// The kinds of evidence.
 const (
+	// HowRefused means that the address refused a new connection.
 	HowRefused How = "refused"
-	HowGone    How = "gone"
-	HowSilent  How = "silent"
+	// HowGone means that the registry no longer lists the back end.
+	HowGone How = "gone"
+	// HowSilent means that a new connection failed otherwise, usually by a timeout. It is
+	// provisional and is never stored.
+	HowSilent How = "silent"
 )
 
-// End is the end of a back end under a work.
+// End is the failure of a back end while it was running a work.
 type End struct {
 	Work    fingerprint.Fingerprint
 	Backend string
-	// Life tells the ends of one back end apart, from 0 on: it may start again under its
-	// name.
+	// Life numbers the failures of one back end from 0, since a back end may restart under
+	// the same name.
 	Life    int
 	Service string
 	How     How
-	// Node is the node that saw it.
+	// Node is the name of the node that detected the failure.
 	Node string
 }
 
-// endID names an end under its work.
+// endID identifies an End among those of its work.
 type endID string
 
 func (e End) id() endID { return endID(e.Backend + "/" + strconv.Itoa(e.Life)) }
 
-// known is an End as this node holds it.
+// known is an End with this node's state of it.
 type known struct {
 	End
-	// at is when this node learnt of it.
+	// at is when this node learned of the end.
 	at time.Time
-	// stored tells that the row is in the store.
+	// stored reports whether the row is in the store.
 	stored bool
 }
 
-// counts tells whether the end is evidence at a moment.
+// counts reports whether the end counts as evidence at time now: a silent one expires.
 func (k known) counts(now time.Time) bool {
 	return k.How != HowSilent || now.Sub(k.at) < silentKeep
 }
 
-// suspect is a work under which back ends ended.
+// suspect is a work with at least one failure.
 type suspect struct {
 	work fingerprint.Fingerprint
 	ends map[endID]known
-	// changed is when an end was added or taken away last; forget, when one is forgotten if
-	// nothing changes.
+	// changed is when an end was last added or removed. At forget the oldest end expires,
+	// unless there is another change before.
 	changed, forget time.Time
-	// held tells that the work is quarantined, heldSince, since when this node has known it.
+	// held reports whether the work is quarantined; heldSince is when that last
+	// changed on this node.
 	held      bool
 	heldSince time.Time
-	// trial is how far the trial of the work is; it is not asked for before askAgain.
+	// trial is the state of the work's trial; it is not requested before askAgain.
 	trial    trial
 	askAgain time.Time
 }
 
-// touch records that an end was added or taken away.
+// touch records that an end was added or removed, and restarts the expiry.
 func (s *suspect) touch(now time.Time) {
 	s.changed, s.forget = now, now.Add(KeepEnd+rand.N(keepSpread))
 }
 
-// count returns the number of back ends that ended under the work. It is pure.
+// count returns the number of ends that count as evidence at time now.
 func (s *suspect) count(now time.Time) int {
 	count := 0
 	for _, k := range s.ends {
@@ -98,20 +101,20 @@
 	return count
 }
 
-// oldest returns the end that is forgotten first. Nodes learn of ends in different orders:
-// all choose the same.
+// oldest returns the end that expires first. It orders by id rather than by time, since
+// nodes learn of ends in different orders and must all choose the same one.
 func (s *suspect) oldest() known { return s.ends[slices.Min(slices.Collect(maps.Keys(s.ends)))] }
 
 const (
-	// restartsAfter is the least time between two ends of one back end; what is seen of it
-	// sooner is the same end.
+	// restartsAfter is the minimum time between two failures of one back end. A refused
+	// connection sooner after a failure belongs to the same failure.
 	restartsAfter = time.Second
-	// lapsesWithin is how long after an end the registry may still tell of it.
+	// lapsesWithin is how long after a failure the registry may still report it.
 	lapsesWithin = 5 * time.Second
 )
 
-// lifeOf returns which end of a back end is seen now: the last one that is known, if that
-// was just seen, or else one more.
+// lifeOf returns the number of the failure of a back end that is detected now: that of a
+// known failure if this is another sign of it, otherwise the next one.
 func (s *suspect) lifeOf(backend string, how How, now time.Time) int {
 	same := restartsAfter
 	if how != HowRefused {
@@ -130,11 +133,12 @@
 	return life
 }
 
-// Suspect is what is known of a work, for operators.
+// Suspect describes a suspected work to operators.
 type Suspect struct {
 	Work fingerprint.Fingerprint
 	Ends []End
-	// Held tells that the work is quarantined; Changed is how long ago the last change was.
-	Held    bool
+	// Held reports whether the work is quarantined.
+	Held bool
+	// Changed is the time since the last change.
 	Changed time.Duration
 }
--- a/internal/gatewaynode/quarantine/handler.go
+++ b/internal/gatewaynode/quarantine/handler.go
@@ -7,10 +7,10 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fingerprint"
 )
 
-// HandlerPath is the path that Handler answers under.
+// HandlerPath is the path prefix of Handler.
 const HandlerPath = "/quarantine/"
 
-// told is a Suspect as operators see it.
+// told is the JSON form of a Suspect.
 type told struct {
 	Work      string    `json:"work"`
 	Held      bool      `json:"held"`
@@ -23,8 +23,8 @@
 	row
 }
 
-// Handler lets operators list what is suspected (GET) and lift a work (DELETE, the work at
-// the end of the path). A lift is for all nodes.
+// Handler returns the operators' interface: GET HandlerPath lists the suspected works, and
+// DELETE HandlerPath followed by a fingerprint clears that work on all nodes.
 func Handler(b *Book) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+HandlerPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -37,7 +37,7 @@
 			list = append(list, t)
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// An operator that has gone away needs no answer.
+		// An error means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(list)
 	})
 	mux.HandleFunc("DELETE "+HandlerPath+"{work}", func(w http.ResponseWriter, r *http.Request) {
@@ -47,7 +47,7 @@
 			return
 		}
 		if !b.Lift(work) {
-			http.Error(w, "nothing is known against this work", http.StatusNotFound)
+			http.Error(w, "work is not suspected", http.StatusNotFound)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
--- a/internal/gatewaynode/quarantine/handler_test.go
+++ b/internal/gatewaynode/quarantine/handler_test.go
@@ -22,16 +22,16 @@
 	status, list := ask(http.MethodGet, HandlerPath)
 	for _, want := range []string{work.String(), `"held":true`, `"backend":"b2"`, `"how":"refused"`, `"node":"n2"`} {
 		if status != http.StatusOK || !strings.Contains(list, want) {
-			t.Errorf("GET: %d, %s lacks %s", status, list, want)
+			t.Errorf("GET: status %d, body %s; want 200 and %s", status, list, want)
 		}
 	}
 	if status, _ := ask(http.MethodDelete, HandlerPath+"nonsense"); status != http.StatusBadRequest {
-		t.Errorf("DELETE of nonsense: %d", status)
+		t.Errorf("DELETE of a malformed fingerprint: status %d, want 400", status)
 	}
 	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNoContent || s.book.Held(work) > 0 {
-		t.Errorf("DELETE: %d, held %d", status, s.book.Held(work))
+		t.Errorf("DELETE: status %d, %d ends held; want 204 and 0", status, s.book.Held(work))
 	}
 	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNotFound {
-		t.Errorf("second DELETE: %d", status)
+		t.Errorf("second DELETE: status %d, want 404", status)
 	}
 }
--- a/internal/gatewaynode/quarantine/key.go
+++ b/internal/gatewaynode/quarantine/key.go
@@ -10,10 +10,11 @@
 	"github.com/sliplift/sliplift/internal/pause"
 )
 
-// keyRow is the key of the row that holds what fingerprints are made with.
+// keyRow is the row key of the fingerprint key that all nodes share.
 const keyRow = "key"
 
-// Of returns the fingerprint of a request, zero while the key is not known.
+// Of returns the fingerprint of a request, or the zero value until the key has been read
+// from the store.
 func (b *Book) Of(work fingerprint.Work) fingerprint.Fingerprint {
 	key := b.key.Load()
 	if key == nil {
@@ -22,10 +23,11 @@
 	return key.Of(work)
 }
 
-// Known tells whether the node can tell requests apart: nodes that cannot must not serve.
+// Known reports whether the fingerprint key is available. Without it a node cannot
+// recognize quarantined requests and must not serve.
 func (b *Book) Known() bool { return b.key.Load() != nil }
 
-// takeKey takes the key as the store has it.
+// takeKey sets the fingerprint key to the value of its row.
 func (b *Book) takeKey(value []byte) {
 	var key fingerprint.Key
 	if copy(key[:], value) < len(key) {
@@ -35,7 +37,8 @@
 	b.key.Store(&key)
 }
 
-// makeKey writes a key if the store has none. Of nodes that do so together one succeeds.
+// makeKey writes a new fingerprint key unless the store has one. Of several nodes that do so
+// at the same time, one succeeds.
 func (b *Book) makeKey(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, writeLimit)
 	defer cancel()
@@ -49,7 +52,7 @@
 	case err == nil:
 		b.key.Store(&key)
 	case errors.As(err, &conflict):
-		// The view brings the one that is there.
+		// Another node wrote the key; Apply receives it.
 	default:
 		b.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{"row": keyRow, eventlog.Cause: err.Error()})
 		pause.For(ctx, writeRetry)
--- a/internal/gatewaynode/quarantine/outbox.go
+++ b/internal/gatewaynode/quarantine/outbox.go
@@ -1,27 +1,28 @@
 package quarantine
 
 const (
-	// outboxMost bounds the rows that wait to be written: what a hundred works leave behind
-	// that end three back ends each.
+	// outboxMost bounds the queued writes and, separately, the queued deletions. It has room
+	// for a hundred works that fail three back ends each.
 	outboxMost = 512
-	// firstsMost bounds those of works under which one back end has ended: where a zone
-	// loses its power, thousands of harmless requests are among them.
+	// firstsMost is the length of the queue from which on the only end of a work is dropped.
+	// A power loss in a zone yields thousands of these, of harmless requests.
 	firstsMost = 32
 )
 
-// rowKey is the key of a row.
+// rowKey is the key of the row of an end or trial.
 type rowKey string
 
 func keyOf(end End) rowKey { return rowKey(end.Work.String() + "/" + string(end.id())) }
 
-// unwritten is an end that waits to be written; told tells that other nodes were told of it
-// directly.
+// unwritten is an end that is queued for writing.
 type unwritten struct {
-	end  End
+	end End
+	// told reports whether the end was sent to other nodes directly.
 	told bool
 }
 
-// outbox is what waits to be written to the store.
+// outbox is the queue of changes to the store. The mutex of its Book guards it, except for
+// wake.
 type outbox struct {
 	puts    map[rowKey]unwritten
 	deletes map[rowKey]bool
@@ -33,7 +34,7 @@
 	return outbox{puts: make(map[rowKey]unwritten), deletes: make(map[rowKey]bool), wake: make(chan struct{}, 1)}
 }
 
-// put asks for an end to be written; again tells that it is not the first of its work.
+// put queues an end for writing; again means that its work has other ends too.
 func (o *outbox) put(end End, again bool) {
 	key := keyOf(end)
 	delete(o.deletes, key)
@@ -45,7 +46,7 @@
 	o.kick()
 }
 
-// remove asks for a row to be taken away.
+// remove queues the deletion of a row.
 func (o *outbox) remove(key rowKey) {
 	delete(o.puts, key)
 	if len(o.deletes) >= outboxMost {
@@ -56,6 +57,7 @@
 	o.kick()
 }
 
+// kick wakes Book.Run.
 func (o *outbox) kick() {
 	select {
 	case o.wake <- struct{}{}:
--- a/internal/gatewaynode/quarantine/probe.go
+++ b/internal/gatewaynode/quarantine/probe.go
@@ -8,31 +8,34 @@
 )
 
 const (
-	// probeLimit bounds a new connection by which it is found out whether a back end is
-	// there: links take 12 ms at most.
+	// probeLimit is the timeout of a probe. A connection takes 12 ms at most on a sound link.
 	probeLimit = 300 * time.Millisecond
-	// probeAgain is after what time an address is tried once more that took a connection:
-	// a process that ends closes its sockets one after the other.
+	// probeAgain is the delay before a second probe of an address that accepted the first
+	// one, since an exiting process may close its listener after its connections.
 	probeAgain = 100 * time.Millisecond
-	// probesMost bounds the probes of a node at a time: resets of all connections are no
-	// ends, and hundreds of nodes would probe hundreds of back ends. What is not probed is
-	// left to the registry.
+	// probesMost bounds the concurrent probes of a node. When many connections are reset at
+	// once, hundreds of nodes would otherwise probe hundreds of back ends. Back ends that are
+	// not probed are left to the registry.
 	probesMost = 16
-	// silentProbeRest is the least time between two probes of a back end that only was
-	// silent: each is a connection.
+	// silentProbeRest is the minimum time between two probes of a back end whose connections
+	// are silent but not lost, as each probe opens a connection.
 	silentProbeRest = time.Second
 )
 
-// standing is how a back end was found.
+// standing is the result of a probe.
 type standing int
 
 const (
+	// standingThere means that the address accepted a connection.
 	standingThere standing = iota
+	// standingEnded means that the address refused a connection.
 	standingEnded
+	// standingSilent means that the probe timed out or failed otherwise.
 	standingSilent
 )
 
-// probe finds out whether a back end has ended that a call was lost at. The lock is held.
+// probe starts a probe of a back end unless one is in progress or there are too many. The
+// caller holds b.mu.
 func (b *Book) probe(held *backend) {
 	if held.probing || b.probes >= probesMost {
 		return
@@ -55,7 +58,7 @@
 	}()
 }
 
-// try makes a connection to an address and closes it.
+// try opens a connection to an address and closes it.
 func (b *Book) try(address string) standing {
 	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
 	defer cancel()
@@ -71,7 +74,9 @@
 	}
 }
 
-// found takes how a back end was found by a probe that began at a time. The lock is held.
+// found handles the result of a probe that started at began. If the back end is there, the
+// calls lost before the probe are dropped, and ones lost since cause another probe. The
+// caller holds b.mu.
 func (b *Book) found(held *backend, as standing, began, now time.Time) {
 	switch as {
 	case standingEnded:
@@ -96,8 +101,8 @@
 	}
 }
 
-// presume takes a back end that gives no answer to have ended under the calls that were
-// lost or are silent, until the registry tells. The lock is held.
+// presume records a provisional failure of a back end that does not respond, for its calls
+// that were lost or were given up without a recent response. The caller holds b.mu.
 func (b *Book) presume(held *backend, now time.Time) {
 	if held.leaving {
 		return
@@ -109,11 +114,11 @@
 	}
 }
 
-// endedUnder takes a back end to have ended under the calls that may have been at work
-// there. The lock is held.
+// endedUnder records the failure of a back end for the calls that may have been running
+// there, unless it was draining, and follows its calls no longer. The caller holds b.mu.
 func (b *Book) endedUnder(held *backend, how How, now time.Time) {
 	works, count := make(map[string]bool), 0
-	// A call may have gone there before this node knew that it was leaving.
+	// The registry may report the draining only after the last call was sent.
 	held.leaving = held.leaving || b.config.Backend(held.id).Leaving
 	for r := range held.runs {
 		if r.suspected(now) && (how == HowRefused || r.silent(now)) {
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -12,20 +12,21 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// Table is the table of the evidence. Its rows hold no body, path or key of a caller.
+// Table is the store table of failures, trials and the fingerprint key. Its rows hold no
+// body, path or key of a caller.
 const Table = "evidence"
 
-// row is the value of an end's row.
+// row is the stored value of an End; the rest of it is in the row's key.
 type row struct {
 	Service string `json:"service"`
 	How     How    `json:"how"`
 	Node    string `json:"node"`
 }
 
-// errRow says that a row is no evidence.
-var errRow = errors.New("quarantine: row is no evidence")
+// errRow reports a malformed row key.
+var errRow = errors.New("quarantine: row key is not of the form work/backend/number")
 
-// endOf reads the row of an end; of a deleted one, what its key says.
+// endOf decodes a row. For a deleted row it returns the fields in the key only.
 func endOf(r rowstore.Row) (End, error) {
 	end, err := endOfKey(r.Key)
 	if err != nil || r.Deleted {
@@ -38,7 +39,8 @@
 	return value.with(end), nil
 }
 
-// endOfKey returns what the key of an end's row says.
+// endOfKey decodes a row key of the form work/backend/number. The backend may itself
+// contain slashes.
 func endOfKey(key string) (End, error) {
 	work, rest, _ := strings.Cut(key, "/")
 	last := strings.LastIndex(rest, "/")
@@ -53,7 +55,7 @@
 	return End{Work: parsed, Backend: rest[:last], Life: life}, err
 }
 
-// with returns an end with what the value of its row says.
+// with returns end with the fields of the row value set.
 func (r row) with(end End) End {
 	end.Service, end.How, end.Node = r.Service, r.How, r.Node
 	return end
@@ -61,18 +63,19 @@
 
 func rowValue(end End) row { return row{Service: end.Service, How: end.How, Node: end.Node} }
 
-// rowOf returns the row of an end.
+// rowOf encodes an end as a row.
 func rowOf(end End) rowstore.Row {
 	value, err := json.Marshal(rowValue(end))
 	if err != nil {
-		panic("quarantine: an end cannot be encoded: " + err.Error())
+		panic("quarantine: encode failure row: " + err.Error())
 	}
 	return rowstore.Row{RowID: rowID(keyOf(end)), Value: value}
 }
 
 func rowID(key rowKey) rowstore.RowID { return rowstore.RowID{Table: Table, Key: string(key)} }
 
-// Apply takes rows of the table, as rowstore.ViewConfig.Apply.
+// Apply takes changed rows of Table, or all of its rows if complete is set. It implements
+// rowstore.ViewConfig.Apply.
 func (b *Book) Apply(rows []rowstore.Row, complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,8 +117,8 @@
 	}
 }
 
-// cleared takes that the row of an end is gone. One that this node has yet to write stays.
-// The lock is held.
+// cleared withdraws an end whose row was deleted. An end that this node has not yet written
+// stays. The caller holds b.mu.
 func (b *Book) cleared(end End, now time.Time) {
 	s := b.suspects[end.Work]
 	if s == nil {
@@ -128,13 +131,13 @@
 	b.withdraw(s, end.id(), now)
 }
 
-// message is an end as nodes tell each other.
+// message is the encoding of an End between nodes.
 type message struct {
 	Key string `json:"key"`
 	row
 }
 
-// Message returns ends as Told takes them.
+// Message encodes ends for Told.
 func Message(ends []End) json.RawMessage {
 	list := make([]message, 0, len(ends))
 	for _, end := range ends {
@@ -142,12 +145,12 @@
 	}
 	encoded, err := json.Marshal(list)
 	if err != nil {
-		panic("quarantine: ends cannot be encoded: " + err.Error())
+		panic("quarantine: encode failure message: " + err.Error())
 	}
 	return encoded
 }
 
-// Told takes ends that another node saw and could not write.
+// Told takes a Message from another node that could not write the ends to the store.
 func (b *Book) Told(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -12,39 +12,40 @@
 const (
 	// runsMost bounds the calls that a node follows.
 	runsMost = 16384
-	// endedKeep is how long a call that this node ended may still be at work at its back
-	// end; silentRunKeep, how long one without any sign of the back end stays suspected:
-	// until its entry has lapsed.
-	endedKeep     = 500 * time.Millisecond
+	// endedKeep is how long a call that this node cancelled may still run at its back end.
+	endedKeep = 500 * time.Millisecond
+	// silentRunKeep is how long an ended call stays suspected if the back end was silent: the
+	// registry has dropped a failed back end by then.
 	silentRunKeep = 4 * time.Second
-	// heardWithin is how long ago a back end was heard from that is certainly there.
+	// heardWithin is the time without data from the back end after which a call is silent.
 	heardWithin = time.Second
 )
 
-// run is a call to a back end that has not been answered.
+// run is a call to a back end that has no complete response.
 type run struct {
 	book *Book
-	// backend is nil for a run that is not followed for want of room.
+	// backend is nil if the run is not followed since there are too many.
 	backend *backend
-	// request and work are the call's id and what it asks for: the call itself, with its
-	// body, is not kept for as long.
+	// request and work are the id and fingerprint of the call. The call itself is not kept,
+	// so that its body can be freed.
 	request string
 	work    fingerprint.Fingerprint
 	// at is the id of the back end.
-	at   string
+	at string
+	// cut cancels the call.
 	cut  func()
 	sent time.Time
-	// heard is when the last part of the answer came, 0 if none did. It is set without the
-	// book's lock: a stream has hundreds of parts.
+	// heard is when the last data of the response arrived, in milliseconds, or 0 if none
+	// did. It is atomic so that each part of a stream is recorded without taking Book.mu.
 	heard atomic.Int64
-	// ended is when the call ended without an answer, zero while it is under way; lost
-	// tells that the other side ended it.
+	// ended is when the call ended without a complete response, zero while it is in progress.
 	ended time.Time
-	lost  bool
+	// lost reports whether the other side closed or reset the connection.
+	lost bool
 }
 
-// silent tells whether the back end has not been heard from on the call since a while
-// before a moment.
+// silent reports whether nothing arrived from the back end on this call within heardWithin
+// before now.
 func (r *run) silent(now time.Time) bool {
 	last := r.sent
 	if heard := r.heard.Load(); heard > 0 {
@@ -53,7 +54,7 @@
 	return now.Sub(last) >= heardWithin
 }
 
-// suspected tells whether the call may have been at work at a back end that ended shortly
+// suspected reports whether the call may have been running at a back end that failed shortly
 // before now.
 func (r *run) suspected(now time.Time) bool {
 	if r.ended.IsZero() || r.lost {
@@ -65,13 +66,13 @@
 	return now.Sub(r.ended) < endedKeep
 }
 
-// backend is what is followed of one back end.
+// backend is a back end with calls that are followed.
 type backend struct {
 	id, address, service string
 	runs                 map[*run]struct{}
-	// leaving tells that the registry said so.
+	// leaving reports whether the registry listed the back end as draining at any time.
 	leaving bool
-	// probing tells that its address is being tried; probed is when it was last.
+	// probing reports whether a probe is in progress; probed is when the last one ended.
 	probing bool
 	probed  time.Time
 }
@@ -98,7 +99,7 @@
 	return r
 }
 
-// followed tells whether it is still open what becomes of the run. The lock is held.
+// followed reports whether the run is still followed. The caller holds Book.mu.
 func (r *run) followed() bool {
 	if r.backend == nil {
 		return false
@@ -107,7 +108,7 @@
 	return found
 }
 
-// drop follows a run no longer. The lock is held.
+// drop stops following a run. The caller holds b.mu.
 func (b *Book) drop(r *run) {
 	if !r.followed() {
 		return
@@ -122,8 +123,8 @@
 // Heard implements upstream.Trace.
 func (r *run) Heard() { r.heard.Store(int64(clock.Now())) }
 
-// successFrom and successBelow bound the statuses of answers that acquit a work. Others
-// do not show that it ran: a back end may give up a request that waited there.
+// successFrom and successBelow bound the statuses of responses that clear a work. Other
+// statuses do not show that the work ran, as a back end may reject a queued request.
 const (
 	successFrom  = 200
 	successBelow = 300
@@ -153,8 +154,8 @@
 	}
 }
 
-// sweep follows calls no longer that ended so long ago that nothing speaks against them.
-// The lock is held.
+// sweep stops following ended calls that are no longer suspected, including lost ones after
+// silentRunKeep. The caller holds b.mu.
 func (b *Book) sweep(now time.Time) {
 	for _, held := range b.backends {
 		for r := range held.runs {
--- a/internal/gatewaynode/quarantine/trial.go
+++ b/internal/gatewaynode/quarantine/trial.go
@@ -11,42 +11,45 @@
 )
 
 const (
-	// trialAfter is how long a work is quarantined before it may be tried once: back ends
-	// that ended together for another reason, as a zone that lost its power, are back by
-	// then, and so are those that a deadly work ended.
+	// trialAfter is how long a work is quarantined before its trial. By then, back ends that
+	// failed together, whatever the reason, have usually restarted.
 	trialAfter = 10 * time.Second
-	// trialPrefix begins the keys of the rows of trials.
+	// trialPrefix is the prefix of the keys of trial rows.
 	trialPrefix = "trial/"
-	// askLimit bounds the asking for a trial, askRest is the least time between two: while
-	// the store gives no answer, few requests wait for it.
+	// askLimit is the timeout of the store transaction that acquires a trial, askRest the
+	// minimum time from a failed one to the next. Together they limit how many requests wait
+	// for a store that does not respond.
 	askLimit = 500 * time.Millisecond
 	askRest  = 5 * time.Second
 )
 
-// trial is how far the one trial of a quarantined work is.
+// trial is the state of the trial of a quarantined work, as far as this node knows.
 type trial int
 
 const (
+	// trialOpen means that the trial can be acquired.
 	trialOpen trial = iota
-	// trialAsked: this node is asking for it.
+	// trialAsked means that this node is acquiring the trial.
 	trialAsked
-	// trialTaken: a node has it, or had it.
+	// trialTaken means that some node has acquired the trial.
 	trialTaken
 )
 
+// trialID returns the id of the row whose creation acquires the trial of a work.
+
 func trialID(work fingerprint.Fingerprint) rowstore.RowID {
 	return rowstore.RowID{Table: Table, Key: trialPrefix + work.String()}
 }
 
-// endTrial takes the row of a work's trial away, if there is one, so that there may be
-// another. The lock is held.
+// endTrial deletes the row of a work's trial, if there is one, so that another trial is
+// possible. The caller holds b.mu.
 func (b *Book) endTrial(s *suspect) {
 	if s.trial == trialTaken {
 		b.outbox.remove(rowKey(trialID(s.work).Key))
 	}
 }
 
-// trialOf returns the work of the row of a trial.
+// trialOf returns the work in the key of a trial row and reports whether it is one.
 func trialOf(key string) (fingerprint.Fingerprint, bool) {
 	text, found := strings.CutPrefix(key, trialPrefix)
 	if !found {
@@ -56,8 +59,8 @@
 	return work, err == nil
 }
 
-// Retry returns after what time a quarantined work may come back: when it may be tried or,
-// if it was, when one of its ends is forgotten.
+// Retry returns the time after which a client may retry a quarantined work: until its trial
+// or, if the trial was taken, until one of its ends is forgotten.
 func (b *Book) Retry(work fingerprint.Fingerprint) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,10 +74,10 @@
 	return max(trialAfter-time.Since(s.heldSince), 0)
 }
 
-// Try asks for the one trial of a quarantined work, and tells whether this node has it: it
-// may then send the work on once, at one back end. All nodes together have one trial, which
-// the node has that writes its row. If it succeeds the work is cleared; else it stays
-// quarantined until an end is forgotten.
+// Try acquires the trial of a quarantined work and reports whether this node has it. The
+// node may then send the work once, to one back end. There is one trial for all nodes, which
+// belongs to the node that creates its row. If the trial succeeds, the work is cleared;
+// otherwise it stays quarantined until one of its ends is forgotten.
 func (b *Book) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
 	if !b.ask(work) {
 		return false
@@ -92,8 +95,8 @@
 		return false
 	}
 	if err != nil {
-		// Another node has it, or nobody knows: it may be asked for again, and is refused
-		// once its row is there.
+		// Another node has the trial, or the outcome of the transaction is unknown. Asking
+		// again is safe, since the transaction fails once the row exists.
 		if s.trial == trialAsked {
 			s.trial, s.askAgain = trialOpen, time.Now().Add(askRest)
 		}
@@ -106,7 +109,7 @@
 	return true
 }
 
-// MayTry tells whether the trial of a quarantined work may be asked for.
+// MayTry reports whether the trial of a quarantined work may be requested now.
 func (b *Book) MayTry(work fingerprint.Fingerprint) bool {
 	if b.Held(work) == 0 {
 		return false
@@ -116,12 +119,13 @@
 	return b.mayTry(b.suspects[work])
 }
 
-// mayTry is MayTry of what is known of the work. The lock is held.
+// mayTry is MayTry for a suspect, which may be nil. The caller holds b.mu.
 func (b *Book) mayTry(s *suspect) bool {
 	return s != nil && s.held && s.trial == trialOpen && time.Since(s.heldSince) >= trialAfter && !time.Now().Before(s.askAgain)
 }
 
-// ask tells whether the trial of a work may be asked for, and that it is.
+// ask marks the trial of a work as being acquired by this node and reports whether that was
+// possible.
 func (b *Book) ask(work fingerprint.Fingerprint) bool {
 	if b.Held(work) == 0 {
 		return false
@@ -136,7 +140,7 @@
 	return true
 }
 
-// sawTrial takes that the row of a trial is there, or gone. The lock is held.
+// sawTrial handles a change of a trial row. The caller holds b.mu.
 func (b *Book) sawTrial(work fingerprint.Fingerprint, deleted bool) {
 	s := b.suspects[work]
 	if s == nil {
--- a/internal/gatewaynode/quarantine/writer.go
+++ b/internal/gatewaynode/quarantine/writer.go
@@ -17,28 +17,28 @@
 const (
 	// rowsMost bounds the rows of one transaction.
 	rowsMost = 50
-	// writeBurst is how many transactions a node may write at once; more of them follow
-	// at the pace of Writer.Rest.
+	// writeBurst is the number of transactions that may be written without waiting for
+	// Writer.Rest.
 	writeBurst = 4
-	// writeRetry is the pause after a transaction that failed, writeLimit bounds one.
+	// writeRetry is the delay after a failed transaction, writeLimit the timeout of one.
 	writeRetry = 200 * time.Millisecond
 	writeLimit = 1500 * time.Millisecond
-	// tellAfter is after how many failures in a row other nodes are told directly: where many
-	// nodes share what the store takes, it refuses some of their writes now and then.
+	// tellAfter is the number of consecutive failed writes after which ends are sent to other
+	// nodes directly. Single failures are normal when many nodes share the store's capacity.
 	tellAfter = 3
-	// ageEvery is how often old evidence is sought.
+	// ageEvery is the interval at which expired evidence is removed.
 	ageEvery = time.Second
 )
 
-// Writer says how a Book's evidence is written.
+// Writer configures how a Book distributes its evidence.
 type Writer struct {
-	// Rest returns the time between two transactions where all nodes write.
+	// Rest returns the time between two transactions of this node while all nodes write.
 	Rest func() time.Duration
-	// Tell tells other nodes of ends that could not be written; it may be nil.
+	// Tell, if not nil, sends ends that could not be written to the other nodes.
 	Tell func(context.Context, []End)
 }
 
-// Run writes evidence and forgets what is old until ctx ends.
+// Run writes evidence to the store and removes expired evidence until ctx is done.
 func (b *Book) Run(ctx context.Context, w Writer) {
 	limiter := rate.NewLimiter(rate.Every(w.Rest()), writeBurst)
 	ticker := time.NewTicker(ageEvery)
@@ -63,7 +63,7 @@
 	}
 }
 
-// write writes the first of what waits, and asks to be called again if there is more.
+// write commits one transaction of queued changes and wakes Run again if any are left.
 func (b *Book) write(ctx context.Context, w Writer) {
 	puts, deletes := b.take()
 	if len(puts)+len(deletes) == 0 {
@@ -91,7 +91,7 @@
 	b.written(puts, deletes, err == nil)
 }
 
-// take returns what goes into the next transaction: works with the most ends first.
+// take returns the changes of the next transaction, those of works with the most ends first.
 func (b *Book) take() (puts []End, deletes []rowKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,8 +110,8 @@
 	return puts, deletes
 }
 
-// tell tells other nodes of ends that could not be written, once the store has not taken
-// any for a while. One telling is under way at a time.
+// tell sends ends that could not be written to the other nodes in the background, once
+// tellAfter writes in a row have failed. At most one Writer.Tell is in progress.
 func (b *Book) tell(ctx context.Context, w Writer, puts []End) {
 	if w.Tell == nil || b.failures < tellAfter || !b.telling.CompareAndSwap(false, true) {
 		return
@@ -125,7 +125,7 @@
 	}()
 }
 
-// untold returns the ends that other nodes were not told of yet, and notes that they are.
+// untold returns those of puts that were not sent to other nodes yet and marks them as sent.
 func (b *Book) untold(puts []End) []End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,7 +141,7 @@
 	return list
 }
 
-// ends returns how many ends are known of a work. The lock is held.
+// ends returns the number of ends of a work. The caller holds b.mu.
 func (b *Book) ends(work fingerprint.Fingerprint) int {
 	if s := b.suspects[work]; s != nil {
 		return len(s.ends)
@@ -149,8 +149,8 @@
 	return 0
 }
 
-// written takes what became of a transaction; what failed is written again: the rows are
-// the same, whatever became of the first time.
+// written removes the changes of a successful transaction from the queue. Those of a failed
+// one stay, as writing them twice has no effect.
 func (b *Book) written(puts []End, deletes []rowKey, done bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
