--- a/internal/gatewaynode/upstream/body.go
+++ b/internal/gatewaynode/upstream/body.go
@@ -8,18 +8,23 @@
 	"time"
 )
 
-// answerBody reads the body and, at its end, gives the connection back.
+// answerBody is the body of an answer. At its end it returns the connection to the pool.
 type answerBody struct {
 	client   *Client
 	conn     *connection
 	response *http.Response
-	tainted  bool
-	written  <-chan error
-	release  func() bool
-	done     bool
+	// tainted reports that surplus answers came first, so that the connection cannot be
+	// reused.
+	tainted bool
+	// written receives the result of writing the request body, see send.
+	written <-chan error
+	// release detaches the connection from the context of the call. It reports false if the
+	// context is already done, which closes the connection.
+	release func() bool
+	done    bool
 }
 
-// Read implements io.Reader. The end of a body that was cut is never io.EOF.
+// Read implements io.Reader. It never returns io.EOF for a truncated body.
 func (b *answerBody) Read(buffer []byte) (int, error) {
 	if b.done {
 		return 0, io.EOF
@@ -32,6 +37,7 @@
 	return count, err
 }
 
+// finish returns the connection to the pool, or closes it if it cannot be reused.
 func (b *answerBody) finish() {
 	b.done = true
 	if !b.release() {
@@ -44,21 +50,23 @@
 	b.client.park(b.conn, b.response)
 }
 
-// drainMost bounds the body of a failure that is read to keep its connection, in bytes.
+// drainMost is the longest body, in bytes, that Drain reads.
 const drainMost = 64 << 10
 
-// Drain reads what is left of a short body, so that the connection can be kept.
+// Drain discards the rest of a short body, so that the connection can be reused. It does not
+// close the body.
 func (a *Answer) Drain() {
 	if a.Length <= drainMost {
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, drainMost))
 	}
 }
 
-// Linger is how long a call whose answer is no longer needed may go on: its connection is
-// kept if the answer comes by then, and the back end learns soon enough otherwise.
+// Linger is how long a caller lets a call continue whose answer is no longer needed. If the
+// answer completes in this time, the connection can be reused; otherwise closing it tells
+// the back end to stop.
 const Linger = 400 * time.Millisecond
 
-// Close ends the call. A body that was not read whole ends its connection.
+// Close ends the call. It closes the connection unless the body was read to its end.
 func (b *answerBody) Close() error {
 	if b.done {
 		return nil
@@ -69,14 +77,15 @@
 	return nil
 }
 
-// tracedBody tells how the reading of a body ended.
+// tracedBody reports the reading of a body to a Trace.
 type tracedBody struct {
 	io.ReadCloser
-	// ctx is that of the call.
+	// ctx is the context of the call.
 	ctx    context.Context
 	trace  Trace
 	status int
-	told   bool
+	// told reports whether Trace.End was called.
+	told bool
 }
 
 // Read implements io.Reader.
@@ -100,6 +109,7 @@
 	return b.ReadCloser.Close()
 }
 
+// tell calls Trace.End once.
 func (b *tracedBody) tell(end End) {
 	if b.told {
 		return
--- a/internal/gatewaynode/upstream/connections.go
+++ b/internal/gatewaynode/upstream/connections.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Purpose is what a call is made for. The values are few: figures are kept by them.
+// Purpose is the reason for a call. It is a metric label and has few values.
 type Purpose string
 
 // The purposes of calls.
@@ -21,57 +21,57 @@
 	PurposePeer  Purpose = "peer"
 )
 
-// OpenCause is why a call could not use a connection that stood.
+// OpenCause is why a call opened a connection instead of reusing one.
 type OpenCause string
 
-// The causes of new connections.
 const (
-	// OpenFirst: none ever stood, as far as is known.
+	// OpenFirst means that no earlier connection to the peer is known.
 	OpenFirst OpenCause = "first"
-	// OpenBusy: other calls are under way on all that stand.
+	// OpenBusy means that all open connections are in use.
 	OpenBusy OpenCause = "busy"
-	// OpenExpired: one was idle for as long as the back end keeps it.
+	// OpenExpired means that an earlier connection reached its idle timeout.
 	OpenExpired OpenCause = "expired"
-	// OpenClosed: the back end closed one, or said that it would.
+	// OpenClosed means that the back end closed an earlier connection or announced to.
 	OpenClosed OpenCause = "closed"
-	// OpenCut: one was closed with a call that was cancelled or failed.
+	// OpenCut means that an earlier connection was closed by a cancelled or failed call.
 	OpenCut OpenCause = "cut"
-	// OpenFresh: the call asked for a new one.
+	// OpenFresh means that Call.Fresh was set.
 	OpenFresh OpenCause = "fresh"
 )
 
-// Opening tells of a new connection.
+// Opening describes a new connection.
 type Opening struct {
 	Peer    Peer
 	Purpose Purpose
 	Cause   OpenCause
-	// Took is the time of the connect.
+	// Took is the time that it took to connect.
 	Took time.Duration
 }
 
-// Peer is one incarnation of what listens at an address.
+// Peer identifies one incarnation of a back end at an address.
 type Peer struct {
 	Address, Instance string
 }
 
-// peer is what a client holds of one Peer.
+// peer is a Client's state for one Peer.
 type peer struct {
-	// idle are the connections that no call is under way on, the one used last at the end.
+	// idle holds the unused connections in the order of their last use.
 	idle []*connection
-	// busy counts the connections that calls are under way on.
+	// busy is the number of connections in use.
 	busy int
-	// lost is why connections ended, the last one at lostAt, that no new ones have taken
-	// the place of; lostMost at most, the latest ones.
+	// lost holds the causes of closed connections that were not yet replaced, at most
+	// lostMost of the latest. Each becomes the OpenCause of one new connection. lostAt is the
+	// time of the last.
 	lost   []OpenCause
 	lostAt time.Time
-	// heard is when the last answer came, on any connection.
+	// heard is when the last answer was received, on any connection.
 	heard time.Time
 }
 
-// lostMost bounds what is remembered of the connections of a peer that ended.
+// lostMost bounds peer.lost.
 const lostMost = 32
 
-// lose records why a connection ended.
+// lose records the cause of a closed connection.
 func (p *peer) lose(why OpenCause) {
 	if len(p.lost) == lostMost {
 		p.lost = p.lost[1:]
@@ -79,48 +79,52 @@
 	p.lost, p.lostAt = append(p.lost, why), time.Now()
 }
 
-// lostMemory is how long a peer without connections is remembered, so that peers which
-// are gone take no memory.
+// lostMemory is how long the state of a peer without connections is kept, so that removed
+// peers do not accumulate.
 const lostMemory = time.Minute
 
-// forgotten tells that nothing is left to be known of a peer.
+// forgotten reports whether the state of a peer can be removed.
 func (p *peer) forgotten() bool {
 	return p.busy == 0 && len(p.idle) == 0 && time.Since(p.lostAt) > lostMemory
 }
 
+// connection is a connection of a Client, used by one call at a time.
 type connection struct {
 	net.Conn
 	peer   Peer
 	reader *bufio.Reader
-	// roundTrip is how long it took to be made.
+	// roundTrip is the time that it took to connect.
 	roundTrip time.Duration
-	// keep is how long the back end keeps the connection idle, 0 if unknown.
-	keep   time.Duration
+	// keep is the idle timeout that the back end stated, 0 if none.
+	keep time.Duration
+	// parked is when an answer was last completed on the connection, or when it was first
+	// returned unused.
 	parked time.Time
-	used   bool
-	// expires tells that what the socket holds is dropped in time, see expire.
+	// used reports whether an answer was completed on the connection.
+	used bool
+	// expires reports whether expire set a limit on the socket.
 	expires bool
-	// cut tells that the call on the connection was ended for what it asks for, see Trace.
+	// cut reports whether the Witness cancelled the call.
 	cut atomic.Bool
-	// ended is set once the connection is closed; the client's lock guards it.
+	// ended is set once the connection is closed. Client.mu guards it.
 	ended bool
 }
 
-// noteHeard records that an answer of a peer came.
+// noteHeard records that an answer of a peer was received.
 func (c *Client) noteHeard(id Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.of(id).heard = time.Now()
 }
 
-// heardAfter tells whether an answer of a peer came after a time.
+// heardAfter reports whether an answer of a peer was received after since.
 func (c *Client) heardAfter(id Peer, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.of(id).heard.After(since)
 }
 
-// of returns what is held of a peer. The lock is held.
+// of returns the state of a peer, which it creates if needed. The caller holds c.mu.
 func (c *Client) of(id Peer) *peer {
 	held := c.peers[id]
 	if held == nil {
@@ -130,7 +134,7 @@
 	return held
 }
 
-// connect returns a connection for a call, one that stands if there is one.
+// connect returns an idle connection for a call, or opens one.
 func (c *Client) connect(ctx context.Context, call *Call) (*connection, error) {
 	id := Peer{Address: call.Address, Instance: call.Instance}
 	if !call.Fresh {
@@ -150,7 +154,7 @@
 	return &connection{Conn: raw, peer: id, reader: bufio.NewReaderSize(raw, 4096), roundTrip: took}, nil
 }
 
-// opened counts a new connection and tells of it.
+// opened counts a new connection and reports it to Config.OnOpen.
 func (c *Client) opened(call *Call, id Peer, took time.Duration) {
 	c.mu.Lock()
 	held := c.of(id)
@@ -162,7 +166,7 @@
 	}
 }
 
-// cause returns why a new connection is opened. Each one that was lost accounts for one.
+// cause returns the cause of a new connection and removes it from p.lost.
 func (p *peer) cause(fresh bool) OpenCause {
 	last := len(p.lost) - 1
 	switch {
@@ -178,8 +182,8 @@
 	return OpenFirst
 }
 
-// takeIdle returns the connection that was used last and is still sound. It has to have
-// been used after a time.
+// takeIdle returns the most recently used idle connection that is still reusable, or nil if
+// none was used since the given time.
 func (c *Client) takeIdle(id Peer, since time.Time) *connection {
 	for {
 		conn := c.popIdle(id, since)
@@ -198,8 +202,8 @@
 	}
 }
 
-// popIdle takes the connection that was used last, nil if there is none that was used
-// after a time.
+// popIdle removes and returns the most recently used idle connection, or nil if none was
+// used since the given time.
 func (c *Client) popIdle(id Peer, since time.Time) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,6 +217,8 @@
 	return conn
 }
 
+// idleLimit returns how long a connection may stay idle. It is shorter than the timeout that
+// the back end stated, see idleMargin.
 func (c *Client) idleLimit(conn *connection) time.Duration {
 	if conn.keep == 0 {
 		return c.config.IdleMost
@@ -220,7 +226,8 @@
 	return max(conn.keep-idleMargin, conn.keep/2)
 }
 
-// park keeps a connection after a whole answer.
+// park returns a connection to the pool after a complete answer, or closes it if it cannot
+// be reused.
 func (c *Client) park(conn *connection, response *http.Response) {
 	if response.Close || conn.reader.Buffered() > 0 || !silent(conn) {
 		c.drop(conn, OpenClosed)
@@ -232,8 +239,8 @@
 	c.giveBack(conn)
 }
 
-// giveBack makes a sound connection that no call is under way on an idle one, without what
-// its last call had set up.
+// giveBack returns a reusable connection to the pool and reverts the socket options of its
+// call.
 func (c *Client) giveBack(conn *connection) {
 	if err := expireNever(conn); err != nil {
 		c.drop(conn, OpenCut)
@@ -252,8 +259,8 @@
 	held.idle = append(held.idle, conn)
 }
 
-// drop closes a connection that a call had; why is what a new one in its place is put
-// down to. It may be called again.
+// drop closes a connection in use; why becomes the OpenCause of the one that replaces it.
+// Further calls have no effect.
 func (c *Client) drop(conn *connection, why OpenCause) {
 	c.mu.Lock()
 	if !conn.ended {
@@ -266,7 +273,7 @@
 	_ = conn.Close()
 }
 
-// distrust closes the idle connections to a peer on which no answer came after a time.
+// distrust closes the idle connections to a peer that were not used after since.
 func (c *Client) distrust(id Peer, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -284,8 +291,8 @@
 	held.idle = rest
 }
 
-// Sweep closes connections whose idle time has run out, and those of back ends
-// that keep says are gone.
+// Sweep closes the idle connections that reached their timeout and those to peers for which
+// keep returns false.
 func (c *Client) Sweep(keep func(address, instance string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -308,7 +315,7 @@
 	}
 }
 
-// Idle returns the number of connections that are kept.
+// Idle returns the number of idle connections.
 func (c *Client) Idle() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -319,7 +326,7 @@
 	return count
 }
 
-// Standing returns how many idle connections each peer has that a call may use.
+// Standing returns the number of idle connections of each peer that a call may reuse.
 func (c *Client) Standing() map[Peer]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gatewaynode/upstream/connections_test.go
+++ b/internal/gatewaynode/upstream/connections_test.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// pipeServer answers each request after its delay, over connections in memory.
+// pipeServer answers each request after a delay, over in-memory connections.
 type pipeServer struct {
 	delay time.Duration
-	head  string
+	// head is the status line and first header fields of each answer.
+	head string
 }
 
 func (s *pipeServer) dial(context.Context, string, string) (net.Conn, error) {
@@ -40,7 +41,8 @@
 	}
 }
 
-// openings returns a client of the server and the causes of the connections that it opens.
+// openings returns a client of the server and a list of the causes of its connections. The
+// client appends to it.
 func openings(server *pipeServer) (*Client, *[]OpenCause) {
 	var causes []OpenCause
 	client := NewClient(Config{Codec: testCodec{}, Dialer: server.dial, OnOpen: func(o Opening) { causes = append(causes, o.Cause) }})
@@ -64,28 +66,28 @@
 		play func(ctx context.Context, client *Client)
 		want []OpenCause
 	}{
-		{"one after the other use one", func(ctx context.Context, client *Client) {
+		{"sequential calls share a connection", func(ctx context.Context, client *Client) {
 			for range 3 {
 				_ = call(ctx, client, false)
 			}
 		}, []OpenCause{OpenFirst}},
-		{"one while another is under way", func(ctx context.Context, client *Client) {
+		{"concurrent calls", func(ctx context.Context, client *Client) {
 			go func() { _ = call(ctx, client, false) }()
 			time.Sleep(time.Millisecond)
 			_ = call(ctx, client, false)
 		}, []OpenCause{OpenFirst, OpenBusy}},
-		{"idle for as long as the back end keeps it", func(ctx context.Context, client *Client) {
+		{"call after the idle timeout", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			time.Sleep(5 * time.Second)
 			_ = call(ctx, client, false)
 		}, []OpenCause{OpenFirst, OpenExpired}},
-		{"swept after that", func(ctx context.Context, client *Client) {
+		{"call after a sweep of expired connections", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			time.Sleep(5 * time.Second)
 			client.Sweep(func(string, string) bool { return true })
 			_ = call(ctx, client, false)
 		}, []OpenCause{OpenFirst, OpenExpired}},
-		{"cut with a call that was cancelled, each one accounts for one", func(ctx context.Context, client *Client) {
+		{"a cancelled call accounts for one new connection", func(ctx context.Context, client *Client) {
 			cut, cancel := context.WithCancel(ctx)
 			time.AfterFunc(time.Millisecond, cancel)
 			_ = call(cut, client, false)
@@ -94,11 +96,11 @@
 			time.Sleep(time.Millisecond)
 			_ = call(ctx, client, false)
 		}, []OpenCause{OpenFirst, OpenCut, OpenBusy}},
-		{"asked for", func(ctx context.Context, client *Client) {
+		{"call with Fresh", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			_ = call(ctx, client, true)
 		}, []OpenCause{OpenFirst, OpenFresh}},
-		{"forgotten once it is of no use", func(ctx context.Context, client *Client) {
+		{"call after the state of the peer was removed", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			client.Sweep(func(string, string) bool { return false })
 			time.Sleep(2 * lostMemory)
@@ -124,11 +126,11 @@
 		peer := Peer{Address: "b:1", Instance: "i"}
 		_ = call(t.Context(), client, false)
 		if got := client.Standing()[peer]; got != 1 {
-			t.Errorf("%d stand after a call, want 1", got)
+			t.Errorf("%d idle connections after a call, want 1", got)
 		}
 		time.Sleep(5 * time.Second)
 		if got := client.Standing()[peer]; got != 0 {
-			t.Errorf("%d stand once their time has run out", got)
+			t.Errorf("%d idle connections after their timeout, want 0", got)
 		}
 		client.Sweep(func(string, string) bool { return false })
 	})
@@ -146,7 +148,7 @@
 			_ = answer.Body.Close()
 		}
 		if !slices.Equal(*causes, []OpenCause{OpenFirst}) {
-			t.Errorf("opened for %v", *causes)
+			t.Errorf("connections opened for %v, want one for %q", *causes, OpenFirst)
 		}
 		client.Sweep(func(string, string) bool { return false })
 	})
@@ -162,9 +164,9 @@
 	time.Sleep(200 * time.Millisecond)
 	server.answers <- "HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 0\r\n\r\n"
 	if got := callOnce(client, address, "b"); got != `fate answered 200 ""` {
-		t.Errorf("the next call: %s", got)
+		t.Errorf("second call: %s", got)
 	}
 	if !slices.Equal(causes, []OpenCause{OpenFirst, OpenClosed}) {
-		t.Errorf("opened for %v", causes)
+		t.Errorf("connections opened for %v, want %v", causes, []OpenCause{OpenFirst, OpenClosed})
 	}
 }
--- a/internal/gatewaynode/upstream/distrust_test.go
+++ b/internal/gatewaynode/upstream/distrust_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// TestIdleConnectionsOutliveACallerThatLeft: what else is kept to a back end is closed
-// after a call that this node gave up for silence or at its deadline, and not since the
-// caller left or another attempt was quicker.
+// TestIdleConnectionsOutliveACallerThatLeft checks that the other idle connections to a back
+// end are closed after a call that timed out, but not after one that its caller cancelled or
+// that another attempt made superfluous.
 func TestIdleConnectionsOutliveACallerThatLeft(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		cause error
 		kept  int
 	}{
-		{"the caller left", context.Canceled, 1},
-		{"another was quicker", nil, 1},
+		{"caller cancelled", context.Canceled, 1},
+		{"another attempt answered first", nil, 1},
 		{"silence", ErrSilent, 0},
 		{"deadline", context.DeadlineExceeded, 0},
 	} {
@@ -31,10 +31,10 @@
 			ctx, cancel := context.WithCancelCause(t.Context())
 			time.AfterFunc(silentLeast+time.Millisecond, func() { cancel(test.cause) })
 			if err := call(ctx, client, true); FateOf(err) != Unknown {
-				t.Errorf("%s: %v", test.name, err)
+				t.Errorf("%s: call returned %v, want fate unknown", test.name, err)
 			}
 			if kept := client.Idle(); kept != test.kept {
-				t.Errorf("%s: %d connections kept, want %d", test.name, kept, test.kept)
+				t.Errorf("%s: %d idle connections, want %d", test.name, kept, test.kept)
 			}
 			client.Sweep(func(string, string) bool { return false })
 			time.Sleep(2 * silentLeast)
--- a/internal/gatewaynode/upstream/expire.go
+++ b/internal/gatewaynode/upstream/expire.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// The system sends what a socket holds also after the socket was closed, after the
-// process ended and while the process stands still: over a link that was silent a call
-// may so arrive long after its caller gave it up. A call with an end of its own is
-// bounded in the socket itself, before its first byte is written:
+// The kernel transmits the send buffer of a socket even after the socket is closed, after
+// the process has exited, and while the process is stopped. Once a stalled link recovers, a
+// call could therefore arrive long after its caller gave it up. Two socket options prevent
+// this for a call with Call.Until, and are set before its first byte is written:
 //
-//   - Closing the socket, by the caller or by the end of the process, drops what it
-//     holds and resets the connection.
-//   - The system gives the connection up once bytes have gone unacknowledged for the
-//     time that the call has left, also if nobody is there to close it.
+//   - SO_LINGER 0: closing the socket, explicitly or by the exit of the process, discards
+//     the send buffer and resets the connection.
+//   - TCP_USER_TIMEOUT: the kernel aborts the connection once data stays unacknowledged for
+//     the time that the call has left, even if the process cannot close it.
 
-// userTimeout is the option of Linux's TCP for how long bytes may go unacknowledged, in
-// milliseconds (tcp(7), TCP_USER_TIMEOUT); package syscall does not name it.
+// userTimeout is TCP_USER_TIMEOUT of Linux (tcp(7)), in milliseconds, which package syscall
+// does not define.
 const userTimeout = 0x12
 
-// Ways to close a socket, as SetLinger takes them: at once, or with its bytes sent in
-// the background.
 const (
-	lingerNever   = 0
+	// lingerNever makes Close discard the send buffer.
+	lingerNever = 0
+	// lingerDefault makes Close transmit the send buffer in the background.
 	lingerDefault = -1
 )
 
-// expire bounds what the socket of a connection holds by a time; zero sets no bound.
+// expire limits how long the socket of a connection may hold unsent bytes; a zero time sets
+// no limit.
 func expire(conn *connection, until time.Time) error {
 	socket, ok := conn.Conn.(*net.TCPConn)
 	if until.IsZero() || !ok {
@@ -41,7 +42,7 @@
 	return setUserTimeout(socket, max(time.Until(until), time.Millisecond))
 }
 
-// expireNever takes the bound off a connection again.
+// expireNever reverts expire.
 func expireNever(conn *connection) error {
 	socket, ok := conn.Conn.(*net.TCPConn)
 	if !conn.expires || !ok {
@@ -54,8 +55,8 @@
 	return setUserTimeout(socket, 0)
 }
 
-// setUserTimeout sets for how long bytes may go unacknowledged, 0 for the system's own
-// time. Other systems than Linux have closing alone.
+// setUserTimeout limits how long sent data may stay unacknowledged; 0 restores the system's
+// default. It does nothing on systems other than Linux.
 func setUserTimeout(socket *net.TCPConn, limit time.Duration) error {
 	if runtime.GOOS != "linux" {
 		return nil
--- a/internal/gatewaynode/upstream/expire_test.go
+++ b/internal/gatewaynode/upstream/expire_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// heldCall starts a call whose bytes wait in the socket of its sender: the receiver takes
-// next to nothing until the test reads. It returns the receiver's connection and what the
-// call ends with. The call has a body of heldBody bytes.
+// heldCall starts a call with a body of heldBody bytes, most of which stay in the sender's
+// socket until the test reads from the returned connection of the receiver. The channel
+// receives the error of the call.
 func heldCall(t *testing.T, ctx context.Context, until time.Time) (net.Conn, <-chan error) {
 	t.Helper()
-	// The window that a receiver offers comes from the listening socket.
+	// An accepted connection inherits the receive buffer of the listening socket.
 	small := func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(descriptor uintptr) {
@@ -61,59 +61,61 @@
 }
 
 const (
-	heldBody      = 30 << 10
+	heldBody = 30 << 10
+	// receiverTakes is the size of the receive buffer in bytes, well below heldBody.
 	receiverTakes = 4 << 10
 )
 
-// arrives tells whether the whole of a held call arrives once its receiver reads.
+// arrives reads from the receiver's connection and reports whether all of a held call came.
 func arrives(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	content, _ := io.ReadAll(conn)
 	return len(content) >= heldBody
 }
 
-// TestSocketHoldsNothingPastACall: a call is given up while its bytes wait in the socket;
-// one that has to be over by a time never arrives, one without does.
+// TestSocketHoldsNothingPastACall cancels a call while its bytes are in the socket. With
+// Call.Until it must never arrive; without, it does.
 func TestSocketHoldsNothingPastACall(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		until   time.Time
 		arrives bool
 	}{
-		{"bounded", time.Now().Add(time.Minute), false}, {"not bounded", time.Time{}, true},
+		{"with Until", time.Now().Add(time.Minute), false}, {"without Until", time.Time{}, true},
 	} {
 		ctx, cancel := context.WithCancel(t.Context())
 		conn, ended := heldCall(t, ctx, test.until)
-		// The bytes are in the socket once the first of them can be read.
+		// Once the first byte can be read, the rest is in the socket.
 		if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
 		cancel()
 		if err := <-ended; FateOf(err) != Unknown {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: Do returned %v, want fate unknown", test.name, err)
 		}
 		if came := arrives(t, conn); came != test.arrives {
-			t.Errorf("%s: the call arrived: %v", test.name, came)
+			t.Errorf("%s: call arrived: %v, want %v", test.name, came, test.arrives)
 		}
 	}
 }
 
-// TestSystemGivesAHeldCallUp: nobody closes the connection, as while the process stands
-// still, and the system ends it in the call's time.
+// TestSystemGivesAHeldCallUp checks that the kernel aborts the connection at Call.Until even
+// if nothing closes it, as when the process is stopped.
 func TestSystemGivesAHeldCallUp(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Skip("has no such bound")
+		t.Skip("TCP_USER_TIMEOUT is set on Linux only")
 	}
 	conn, ended := heldCall(t, t.Context(), time.Now().Add(300*time.Millisecond))
 	if err := <-ended; FateOf(err) != Unknown {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Do returned %v, want fate unknown", err)
 	}
 	if arrives(t, conn) {
-		t.Error("the call arrived")
+		t.Error("call arrived after its expiry")
 	}
 }
 
-// TestBoundEndsWithTheCall: a connection that is kept after a bounded call has no bound.
+// TestBoundEndsWithTheCall checks that a reused connection does not keep the expiry of its
+// last call.
 func TestBoundEndsWithTheCall(t *testing.T) {
 	server := newScriptedServer(t)
 	server.answers <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -130,6 +132,6 @@
 	}
 	conn := client.takeIdle(Peer{Address: server.listener.Addr().String()}, time.Time{})
 	if conn == nil || conn.expires {
-		t.Errorf("kept %+v", conn)
+		t.Errorf("idle connection %+v, want one without expiry", conn)
 	}
 }
--- a/internal/gatewaynode/upstream/idle.go
+++ b/internal/gatewaynode/upstream/idle.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// keepAlive returns the timeout of a Keep-Alive field, 0 if there is none.
+// keepAlive returns the timeout parameter of a Keep-Alive header field, or 0 if there is
+// none.
 func keepAlive(field string) time.Duration {
 	for _, part := range strings.Split(field, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
@@ -22,7 +23,8 @@
 	return 0
 }
 
-// silent tells that the peer has neither sent anything nor closed.
+// silent reports whether an idle connection is reusable: the peer has neither sent data nor
+// closed it.
 func silent(conn *connection) bool {
 	if conn.reader.Buffered() > 0 {
 		return false
--- a/internal/gatewaynode/upstream/receipt.go
+++ b/internal/gatewaynode/upstream/receipt.go
@@ -6,31 +6,29 @@
 	"net"
 )
 
-// Receipt is what is known of how much of a call the other side of its connection had read
-// when that ended.
+// Receipt is how much of a call the back end had read when the connection ended.
 type Receipt int
 
-// The receipts of a call.
 const (
-	// ReceiptUnknown: the connection was reset, or ended by this node.
+	// ReceiptUnknown means that the connection was reset, or closed by this node.
 	ReceiptUnknown Receipt = iota
-	// ReceiptPartial: not all of it was read, perhaps nothing.
+	// ReceiptPartial means that the call was not read completely, or not at all.
 	ReceiptPartial
-	// ReceiptWhole: all of it was read.
+	// ReceiptWhole means that the call was read completely.
 	ReceiptWhole
 )
 
-// String returns the receipt for logs.
+// String returns the name of the receipt in logs.
 func (r Receipt) String() string { return [...]string{"unknown", "partial", "whole"}[r] }
 
-// acknowledger is a connection that tells itself whether all bytes that were written to it
-// were read, as those of tests do.
+// acknowledger is implemented by connections in tests that know whether all bytes written to
+// them were read.
 type acknowledger interface{ Acknowledged() bool }
 
-// receiptOf returns the receipt of a call whose connection failed with an error. A system that
-// closes a connection with bytes that its process did not read resets it, and one that has
-// closed it resets it when bytes come. So after an orderly end, bytes that are acknowledged
-// were read before, and others never are.
+// receiptOf returns the receipt of a call whose connection failed with err. A peer that
+// closes a connection with unread data, or receives data after closing it, sends a reset. So
+// after an orderly close, acknowledged bytes were read by the process, and unacknowledged
+// ones never will be.
 func receiptOf(conn net.Conn, err error) Receipt {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		return ReceiptUnknown
--- a/internal/gatewaynode/upstream/receipt_linux.go
+++ b/internal/gatewaynode/upstream/receipt_linux.go
@@ -6,9 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// acknowledged tells whether the other side's system has acknowledged all bytes that were
-// written to a connection (tcp(7), SIOCOUTQ), also where it has ended the connection since, and
-// whether that is known.
+// acknowledged reports whether the peer's system has acknowledged all bytes written to conn
+// (SIOCOUTQ, tcp(7)), and whether that is known. The peer may have closed the connection.
 func acknowledged(conn syscall.Conn) (all, known bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/gatewaynode/upstream/receipt_other.go
+++ b/internal/gatewaynode/upstream/receipt_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// acknowledged is not known here.
+// acknowledged always reports that the state is unknown on this system.
 func acknowledged(syscall.Conn) (all, known bool) { return false, false }
--- a/internal/gatewaynode/upstream/receipt_test.go
+++ b/internal/gatewaynode/upstream/receipt_test.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// Each row is what a back end does with a connection, and the receipt of the call.
+// TestReceipts checks the receipt of a call for each way in which a back end can end the
+// connection.
 func TestReceipts(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Skip("the system does not tell which bytes were acknowledged")
+		t.Skip("SIOCOUTQ is read on Linux only")
 	}
 	read := func(conn net.Conn) { _, _ = http.ReadRequest(bufio.NewReader(conn)) }
 	for _, test := range []struct {
 		name string
-		// early is called before the call is sent, late after that.
+		// early is called before the call is sent, late afterwards.
 		early func(conn net.Conn)
 		late  func(conn net.Conn)
-		// want holds the receipts that may come: unread bytes may be told of before the end.
+		// want holds the possible receipts: a reset may arrive before or after the end.
 		want []Receipt
 	}{
 		{"read and closed", nil, func(conn net.Conn) { read(conn); _ = conn.Close() }, []Receipt{ReceiptWhole}},
@@ -53,7 +54,7 @@
 				test.late(conn)
 			}
 		}()
-		// The call is admitted once the connection stands, and sent after that.
+		// Admit delays the sending until early has returned.
 		admit := func() error {
 			<-accepted
 			return nil
--- a/internal/gatewaynode/upstream/trace.go
+++ b/internal/gatewaynode/upstream/trace.go
@@ -6,40 +6,40 @@
 	"syscall"
 )
 
-// Witness is told of each call that a back end may run, and how it ended. It is safe for
+// Witness observes the calls that back ends may run. Implementations must be safe for
 // concurrent use.
 type Witness interface {
-	// Begin is told of a call at the moment of sending. cut ends the call at once, also
-	// later, without an answer.
+	// Begin is called immediately before a call is sent. cut cancels the call and may be
+	// called at any time, also after its end.
 	Begin(call *Call, cut func()) Trace
 }
 
-// Trace follows one call. Exactly one End comes, after all else.
+// Trace observes one call. End is called exactly once, after all calls of Heard.
 type Trace interface {
-	// Heard tells that a part of the answer came.
+	// Heard is called whenever a part of the answer is received.
 	Heard()
-	// End tells how the call ended; status is that of the answer, if there was one.
+	// End is called with how the call ended and the status of its answer, or 0 if there is
+	// none.
 	End(end End, status int)
 }
 
-// End is how a call ended that was sent.
+// End is how a call that was sent ended.
 type End int
 
-// The ends of calls.
 const (
-	// EndWhole: the answer came whole.
+	// EndWhole means that the complete answer was received.
 	EndWhole End = iota
-	// EndNotRun: the back end said that it did not run the call.
+	// EndNotRun means that the back end stated that it did not run the call.
 	EndNotRun
-	// EndLost: the connection ended before the answer did, and not by this node.
+	// EndLost means that the other side ended the connection before the answer was complete.
 	EndLost
-	// EndGivenUp: this node ended the call before its answer was whole.
+	// EndGivenUp means that this node cancelled the call before the answer was complete.
 	EndGivenUp
-	// EndUnusable: bytes came that are not the answer.
+	// EndUnusable means that the received bytes are no valid answer.
 	EndUnusable
 )
 
-// lost tells whether an error of a connection says that the other side ended it.
+// lost reports whether err means that the other side ended the connection.
 func lost(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
@@ -49,8 +49,8 @@
 	return false
 }
 
-// endOf returns how a call ended that failed with an error; ended tells that this node
-// ended it.
+// endOf returns the End of a call that failed with err; ended reports whether this node
+// cancelled it.
 func endOf(err error, ended bool) End {
 	switch {
 	case ended:
@@ -61,13 +61,13 @@
 	return EndUnusable
 }
 
-// untraced is the Trace of calls that nobody follows.
+// untraced is the Trace of calls that are not observed.
 type untraced struct{}
 
 func (untraced) Heard()       {}
 func (untraced) End(End, int) {}
 
-// begin tells the witness, if there is one, of a call that is about to be sent.
+// begin reports a call that is about to be sent to the Witness, if there is one.
 func (c *Client) begin(call *Call, conn *connection) Trace {
 	if c.config.Witness == nil || call.Work.IsZero() {
 		return untraced{}
--- a/internal/gatewaynode/upstream/trace_test.go
+++ b/internal/gatewaynode/upstream/trace_test.go
@@ -16,7 +16,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fingerprint"
 )
 
-// ends records how calls ended.
+// ends is a Witness that records how calls ended.
 type ends struct {
 	mu   sync.Mutex
 	list []string
@@ -38,8 +38,8 @@
 	c.ends.list = append(c.ends.list, fmt.Sprintf("%s %s %d", c.id, names[end], status))
 }
 
-// TestWitnessIsToldHowCallsEnd: a call whose connection the other side ended is told from
-// one that this node ended, and from one that got bytes which are no answer.
+// TestWitnessIsToldHowCallsEnd checks that calls that the back end broke off, that this node
+// cancelled and that received a malformed answer are reported as different ends.
 func TestWitnessIsToldHowCallsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		seen := &ends{}
@@ -66,7 +66,7 @@
 	})
 }
 
-// answerByID answers one request as its id says.
+// answerByID serves one request in the way that its id names; any other id gets no answer.
 func answerByID(conn net.Conn) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -1,18 +1,18 @@
-// Package upstream sends one request to one back end over HTTP/1.1 and says
-// exactly what became of it.
+// Package upstream sends single requests to back ends over HTTP/1.1 and reports whether
+// each may have run.
 //
-// The standard client retries by itself and hides whether anything was sent, so
-// this package keeps its own connections; it uses net/http for reading answers.
-// A request has one of these fates:
+// The client of net/http retries on its own and does not report whether anything was sent.
+// This package therefore manages its own connections and uses net/http only to parse
+// answers. A request has one of these fates:
 //
-//	NotSent   no byte left this process: it has not run
-//	NotRun    the back end said that it did not and will not run it
+//	NotSent   no byte was written: it has not run
+//	NotRun    the back end stated that it did not and will not run it
 //	Unknown   it was sent and may have run
-//	Answered  an answer that belongs to the request has begun
+//	Answered  the head of its answer was received
 //
-// An answer belongs to the request only if it echoes its id. A whole answer
-// with another id is surplus: it is passed over, and the connection is not used
-// again. A connection is reused only after a whole answer with nothing behind it.
+// An answer belongs to a request if it echoes the request's id. A complete answer with
+// another id is surplus: it is discarded, and the connection is not reused. A connection is
+// reused only after a complete answer that is followed by no further bytes.
 package upstream
 
 import (
@@ -30,18 +30,21 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fleet"
 )
 
-// Fate is what became of a request.
+// Fate is the outcome of a request.
 type Fate int
 
-// The fates of a request.
 const (
+	// NotSent means that no byte was written, so that the request has not run.
 	NotSent Fate = iota
+	// NotRun means that the back end stated that it did not and will not run the request.
 	NotRun
+	// Unknown means that the request was sent and may have run.
 	Unknown
+	// Answered means that the head of the request's answer was received.
 	Answered
 )
 
-// String returns the fate for logs.
+// String returns the name of the fate in logs.
 func (f Fate) String() string {
 	return [...]string{"not_sent", "not_run", "unknown", "answered"}[f]
 }
@@ -55,114 +58,118 @@
 	Header  http.Header
 	Body    []byte
 	Address string
-	// Instance is the incarnation that must take the call.
+	// Instance is the incarnation of the back end that the call is meant for. Another one
+	// that has taken over the address refuses the call.
 	Instance string
-	// Tenant is on whose behalf the call is made, empty for nobody's.
+	// Tenant is the caller on whose behalf the call is made, or empty.
 	Tenant string
-	// Deadline is when the back end has to stop work; zero means none.
+	// Deadline is when the back end must stop running the call; zero means none.
 	Deadline time.Time
-	// Priority is the rank among the requests at the back end, 1 the highest to 9; 0
-	// names none, which counts as 5. See PriorityOf.
+	// Priority ranks the call at the back end, from 1, the highest, to 9. 0 means unset and
+	// counts as 5. See PriorityOf.
 	Priority int
-	// ResumeAfter is the last event that is already there; it counts if Resume.
+	// Resume continues a stream after the event with the number ResumeAfter.
 	Resume      bool
 	ResumeAfter int64
-	// Fresh asks for a new connection.
+	// Fresh forces a new connection.
 	Fresh bool
-	// Purpose is what the call is made for.
+	// Purpose labels the call in metrics of connections.
 	Purpose Purpose
-	// ProvenSince allows a kept connection only if an answer came on it after that time;
-	// zero allows any. Connections fall silent together, without a reset, while new ones
-	// work: what follows an attempt without an answer must not wait on another of them.
+	// ProvenSince, if set, excludes idle connections without an answer since that time.
+	// Connections to a back end can go silent together, without a reset, while new ones
+	// work, so a retry after a silent attempt must not wait on another of them.
 	ProvenSince time.Time
-	// Work is what the call asks for; calls of no work are not followed, see Witness.
+	// Work is the fingerprint of the request. Calls without one are not reported to the
+	// Witness.
 	Work fingerprint.Fingerprint
 	// Unnumbered calls have no id, and their answers need not carry one.
 	Unnumbered bool
-	// Until, if set, is when the call has to be over: what a socket still holds of it by
-	// then never leaves, whatever becomes of this process; see expire.
+	// Until, if set, is when the call expires: bytes still unsent in the socket then are
+	// discarded, even if this process has stopped; see expire.
 	Until time.Time
-	// Admit is asked on a connection that stands, at the moment of sending; an error
-	// keeps the call back. It may be nil only at a client that does not ask for it.
+	// Admit is called once a connection is available, immediately before sending. An error
+	// withholds the call. It may be nil unless Config.MustAdmit is set.
 	Admit func() error
 }
 
-// Bounds of Call.Priority, and how far two ranks of routes lie apart in it.
 const (
+	// priorityFirst and priorityLast bound Call.Priority.
 	priorityFirst = 1
 	priorityLast  = 9
-	priorityStep  = 2
+	// priorityStep is the distance between the priorities of adjacent ranks.
+	priorityStep = 2
 )
 
-// PriorityOf returns the priority of a call by the rank of its route or tenant, 0 the
-// highest, and by how far, from 0 to 2, it may be put behind others of its rank. A call is
-// never put behind one of a lower rank. It is pure.
+// PriorityOf returns the priority of a call from the rank of its route or tenant, 0 the
+// highest, and the number of steps, from 0 to 2, by which it is demoted within its rank. A
+// demoted call never falls behind calls of a lower rank.
 func PriorityOf(rank, behind int) int {
 	return min(priorityFirst+priorityStep*max(rank, 0)+min(behind, priorityStep), priorityLast)
 }
 
-// Meta is what the head of an answer says, translated.
+// Meta is the decoded protocol header of an answer.
 type Meta struct {
-	// ID is the request that the answer belongs to, empty if it does not say.
+	// ID is the id of the request that the answer belongs to, or empty.
 	ID string
-	// NotRun tells that the request has not run and never will.
+	// NotRun reports that the request has not run and never will.
 	NotRun bool
-	// WrongInstance tells that another incarnation has the address.
+	// WrongInstance reports that another incarnation has the address.
 	WrongInstance bool
-	// HasLoad tells whether Running, Waiting and Slots are set.
+	// HasLoad reports whether Running, Waiting and Slots are set.
 	HasLoad                 bool
 	Running, Waiting, Slots int
-	// Slowdown is how many times as long as usual work takes there just now, 0 if the back
-	// end does not say.
+	// Slowdown is the current processing time of the back end as a multiple of its usual
+	// one, or 0 if unknown.
 	Slowdown float64
-	// Version is the weight version that answers, 0 if it does not say.
+	// Version is the version of the weights that produced the answer, or 0 if unknown.
 	Version int64
-	// Stamp is the back end's signature of the answer, empty if it gives none.
+	// Stamp is the back end's signature of the answer, or empty.
 	Stamp string
 }
 
-// Load returns the load that the answer reports.
+// Load returns the load that the answer reports. It is meaningful only if HasLoad is set.
 func (m Meta) Load() fleet.Load {
 	return fleet.Load{Running: m.Running, Waiting: m.Waiting, Slowdown: m.Slowdown}
 }
 
-// Codec translates calls and answers to and from the back ends' protocol.
+// Codec maps calls and answers to the headers of the back ends' protocol.
 type Codec interface {
-	// Encode returns the header of a call: Call.Header and what the protocol adds.
+	// Encode returns the header of a call: Call.Header and the fields of the protocol.
 	Encode(call *Call, now time.Time) http.Header
-	// Decode reads the head of an answer.
+	// Decode returns the protocol fields of an answer.
 	Decode(status int, header http.Header) Meta
 }
 
-// Error is a call without an answer of its own.
+// Error is the failure of a call that has no answer.
 type Error struct {
 	Fate  Fate
 	Cause error
-	// Status is of the answer that said NotRun, if Fate is NotRun.
+	// Status is the status of the refusal if Fate is NotRun.
 	Status int
-	// Sent is when the call was written, zero if Fate is NotSent; After, how long after
-	// that it failed.
+	// Sent is when the call was sent, zero if Fate is NotSent. After is the time from Sent to
+	// the failure.
 	Sent  time.Time
 	After time.Duration
 	// End is how the call ended, if Fate is not NotSent.
 	End End
-	// Receipt tells how much of the call was read; Heard, that an answer of the back end came
-	// after the sending, on any connection.
+	// Receipt is how much of the call the back end had read.
 	Receipt Receipt
-	Heard   bool
-	// RoundTrip is how long the connection took to be made: about a round trip.
+	// Heard reports whether any answer of the back end was received after Sent, on any
+	// connection.
+	Heard bool
+	// RoundTrip is the time that the connection took to open, about one round trip.
 	RoundTrip time.Duration
-	// Withheld tells that Call.Admit kept the call back: that says nothing of the back
-	// end.
+	// Withheld reports that Call.Admit refused the call, which is no sign of a fault of the
+	// back end.
 	Withheld bool
-	// kept tells that the connection is sound and has been given back.
+	// kept reports that the connection is usable and was returned to the pool.
 	kept bool
 }
 
 // Error implements error.
 func (e *Error) Error() string { return "upstream: " + e.Fate.String() + ": " + e.Cause.Error() }
 
-// end returns how the call ended that failed, whose context is ctx.
+// end returns the End of a failed call; ctx is the context of the call.
 func (e *Error) end(ctx context.Context) End {
 	if e.Fate == NotRun {
 		return EndNotRun
@@ -173,7 +180,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// FateOf returns the fate that an error of Do tells.
+// FateOf returns the fate of a call for which Do returned err, Unknown if err is no *Error.
 func FateOf(err error) Fate {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -182,22 +189,22 @@
 	return Unknown
 }
 
-// Withheld tells whether an error of Do says that the call was kept back by its own node.
+// Withheld reports whether err is from a call that Call.Admit refused.
 func Withheld(err error) bool {
 	var failure *Error
 	return errors.As(err, &failure) && failure.Withheld
 }
 
-// Causes of failures.
+// Values of Error.Cause, apart from network errors.
 var (
-	// ErrSurplus says that only answers of other requests came.
+	// ErrSurplus means that only answers to other requests were received.
 	ErrSurplus = errors.New("answer belongs to another request")
-	// ErrTruncated says that an answer ended before its end.
+	// ErrTruncated means that an answer ended early or was too long to discard.
 	ErrTruncated = errors.New("answer cut short")
-	// ErrSilent, as the cause that the context of a call ended for, says that its caller
-	// gave the back end up because nothing came for too long.
+	// ErrSilent is the cause with which a caller cancels the context of a call if the back
+	// end sent nothing for too long.
 	ErrSilent = errors.New("nothing came for too long")
-	// ErrCut says that this node ended the call for what it asks for, see Witness.
+	// ErrCut means that the Witness cancelled the call.
 	ErrCut    = errors.New("ended by this node: others like it end their back ends")
 	errNotRun = errors.New("back end did not run it")
 )
@@ -205,38 +212,41 @@
 // Config configures a Client.
 type Config struct {
 	Codec Codec
-	// DialTimeout bounds a new connection, 0 means one second.
+	// DialTimeout bounds the opening of a connection; 0 means one second.
 	DialTimeout time.Duration
-	// IdleMost is how long a connection without a stated limit is kept.
+	// IdleMost is the idle timeout of connections for which the back end states none; 0
+	// means four seconds.
 	IdleMost time.Duration
-	// Dialer may replace the network, for tests.
+	// Dialer opens connections; nil means a net.Dialer. Tests replace it.
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnOpen is told of each new connection; it may be nil.
+	// OnOpen, if not nil, is called for each new connection.
 	OnOpen func(Opening)
-	// Witness, if it is set, is told of the calls that back ends may run.
+	// Witness, if not nil, observes the calls that back ends may run.
 	Witness Witness
-	// MustAdmit tells that a call without Call.Admit is a broken invariant.
+	// MustAdmit makes Do panic on a call without Call.Admit.
 	MustAdmit bool
 }
 
 const (
 	defaultDialTimeout = time.Second
 	defaultIdle        = 4 * time.Second
-	// idleMargin is taken off the idle time that a back end states.
+	// idleMargin is subtracted from the idle timeout that a back end states, so that a call
+	// is not sent on a connection that the back end is closing.
 	idleMargin = 300 * time.Millisecond
-	// silentLeast is after what time without an answer the other kept connections to a
-	// back end are no longer used, unless an answer came on them meanwhile: above what
-	// sound back ends usually take to begin an answer.
+	// silentLeast is how long a call must have waited for an answer before its failure
+	// closes the other idle connections to the back end. It exceeds the usual time to the
+	// head of an answer.
 	silentLeast = 500 * time.Millisecond
-	// inlineBody is the largest body that is written before the answer is read.
+	// inlineBody is the largest body, in bytes, that is written in full before the answer is
+	// read.
 	inlineBody = 32 << 10
-	// surplusMost is the number of surplus answers passed over in a call.
+	// surplusMost bounds the surplus answers that a call discards.
 	surplusMost = 2
-	// surplusBytes bounds a surplus answer.
+	// surplusBytes bounds the body of a discarded answer.
 	surplusBytes = 1 << 20
 )
 
-// Client sends calls. It is safe for concurrent use.
+// Client sends calls over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	config Config
 
@@ -259,32 +269,32 @@
 	return &Client{config: config, peers: make(map[Peer]*peer)}
 }
 
-// Answer is an answer that belongs to its call. Body must be closed.
+// Answer is the answer to a call. The caller must close Body.
 type Answer struct {
 	Meta Meta
-	// Sent is when the call was written.
+	// Sent is when the call was sent.
 	Sent   time.Time
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes, -1 if it is not known.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
 }
 
-// Broken returns the failure of a call whose answer ended before its end.
+// Broken returns the Error of a call whose answer is incomplete or malformed.
 func (a *Answer) Broken(cause error) *Error {
 	return &Error{Fate: Unknown, Cause: cause, Sent: a.Sent, After: time.Since(a.Sent), End: EndUnusable, Receipt: ReceiptWhole, Heard: true}
 }
 
-// Do sends the call and returns its answer once the head has come, or an
-// *Error. The end of ctx closes the connection, which ends the run.
+// Do sends a call and returns once the head of its answer was received. Its errors are of
+// type *Error. Cancelling ctx closes the connection, on which the back end stops the run.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := c.connect(ctx, call)
 	if err != nil {
 		return nil, &Error{Fate: NotSent, Cause: err}
 	}
 	if err := ctx.Err(); err != nil {
-		// Nothing is sent for a caller that left while the connection was sought.
+		// The caller cancelled while the connection was being opened.
 		c.giveBack(conn)
 		return nil, &Error{Fate: NotSent, Cause: err}
 	}
@@ -326,30 +336,31 @@
 	return nil, failure
 }
 
-// gaveUp tells whether a context ended because no answer came in time: that says something
-// of the connections to the back end. That a caller left, or that another attempt was
-// quicker, does not.
+// gaveUp reports whether a context ended because no answer came in time, which casts doubt
+// on the other connections to the back end. A caller's cancellation, or that of the slower
+// of two attempts, does not.
 func gaveUp(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	return errors.Is(cause, ErrSilent) || errors.Is(cause, context.DeadlineExceeded)
 }
 
-// admit asks whether a call may leave the process now.
+// admit returns the error of Call.Admit.
 func (c *Client) admit(call *Call) error {
 	if call.Admit != nil {
 		return call.Admit()
 	}
 	if c.config.MustAdmit {
-		panic("upstream: a call to a back end that nobody decided on: " + call.Method + " " + call.Target)
+		panic("upstream: call without Admit: " + call.Method + " " + call.Target)
 	}
 	return nil
 }
 
+// exchange writes a call and reads the head of its answer.
 func (c *Client) exchange(conn *connection, call *Call, release func() bool) (*Answer, *Error) {
 	head := c.head(call)
 	written, err := send(conn, head, call.Body)
 	if err != nil {
-		// Even a failed write may have delivered all that counts.
+		// A failed write may still have delivered the complete request.
 		return nil, &Error{Fate: Unknown, Cause: err}
 	}
 	for surplus := 0; ; surplus++ {
@@ -368,9 +379,9 @@
 	}
 }
 
-// belongs tells whether an answer is the call's. One without an id is taken
-// only for a failure that comes first on a new connection: no other request
-// was ever sent there.
+// belongs reports whether an answer is that of the call. One without an id is accepted only
+// if its status is no success and it is the first on its connection, where no other request
+// was sent.
 func (c *Client) belongs(conn *connection, call *Call, meta Meta, status, surplus int) bool {
 	if meta.ID != "" {
 		return meta.ID == call.ID
@@ -381,6 +392,9 @@
 	return status >= http.StatusMultipleChoices && !conn.used && surplus == 0
 }
 
+// answer returns the Answer of a response, or a NotRun error if the response refuses the
+// call. The connection of a refusal is kept if it is reusable. tainted means that surplus
+// answers came before.
 func (c *Client) answer(conn *connection, call *Call, response *http.Response, meta Meta, tainted bool, written <-chan error, release func() bool) (*Answer, *Error) {
 	if meta.NotRun || meta.WrongInstance {
 		failure := &Error{Fate: NotRun, Cause: errNotRun, Status: response.StatusCode}
@@ -400,6 +414,8 @@
 	}, nil
 }
 
+// finished reports whether the request body was written without an error. A nil channel
+// means that it was written before the answer was read.
 func finished(written <-chan error) bool {
 	if written == nil {
 		return true
@@ -412,6 +428,7 @@
 	}
 }
 
+// head encodes the request line and header of a call.
 func (c *Client) head(call *Call) []byte {
 	var buffer bytes.Buffer
 	header := c.config.Codec.Encode(call, time.Now())
@@ -424,12 +441,15 @@
 	return buffer.Bytes()
 }
 
+// bodyExpected reports whether a request with the method states its Content-Length even if
+// its body is empty (RFC 9110, section 8.6).
 func bodyExpected(method string) bool {
 	return method != http.MethodGet && method != http.MethodHead && method != http.MethodDelete
 }
 
-// send writes the request. A long body is written beside the reading of the
-// answer, which may come first; the channel then tells the end of the write.
+// send writes a request. A body longer than inlineBody is written in the background, since
+// the answer may come before the body was read; the channel then receives the result of the
+// write.
 func send(conn net.Conn, head, body []byte) (<-chan error, error) {
 	if len(body) <= inlineBody {
 		_, err := conn.Write(append(head, body...))
@@ -446,7 +466,7 @@
 	return written, nil
 }
 
-// readHead returns the next answer that is not informational.
+// readHead reads the head of the next answer, skipping informational (1xx) ones.
 func readHead(conn *connection, method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for {
@@ -460,6 +480,7 @@
 	}
 }
 
+// discard reads a body to its end, or fails if it exceeds surplusBytes.
 func discard(body io.Reader) error {
 	read, err := io.Copy(io.Discard, io.LimitReader(body, surplusBytes+1))
 	if err == nil && read > surplusBytes {
--- a/internal/gatewaynode/upstream/upstream_test.go
+++ b/internal/gatewaynode/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// testCodec is a codec with short names.
+// testCodec is a Codec with the header fields Id and Refused.
 type testCodec struct{}
 
 func (testCodec) Encode(call *Call, _ time.Time) http.Header {
@@ -28,8 +28,8 @@
 	return Meta{ID: header.Get("Id"), NotRun: header.Get("Refused") != "", WrongInstance: status == http.StatusMisdirectedRequest}
 }
 
-// scriptedServer answers the requests of each connection with the next of the
-// answers; one that ends with "close" ends its connection, "reset" resets it.
+// scriptedServer answers each request with the next of answers. The suffixes "|close" and
+// "|reset" close or reset the connection after the answer.
 type scriptedServer struct {
 	listener net.Listener
 	answers  chan string
@@ -79,11 +79,12 @@
 	}
 }
 
-// TestFates plays answers as bytes. Commands:
+// TestFates checks the fate of calls against answers given as bytes. Commands:
 //
-//	answer   the bytes of one answer: lines end with CR LF, \n stands for a line
-//	         end inside a body, "|close" and "|reset" end the connection
-//	call ID  sends a call and prints its fate, answer and what is kept
+//	answer   the bytes of the next answer, in which LF is sent as CR LF; "|close" and
+//	         "|reset" end the connection
+//	call ID  sends a call and prints its fate and answer, the number of connections
+//	         opened for it and the number of idle ones
 func TestFates(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		server := newScriptedServer(t)
@@ -105,6 +106,7 @@
 	})
 }
 
+// callOnce sends a call and describes its fate and answer.
 func callOnce(client *Client, address, id string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -129,7 +131,7 @@
 	_ = listener.Close()
 	_, err = NewClient(Config{Codec: testCodec{}}).Do(t.Context(), &Call{ID: "a", Method: http.MethodGet, Target: "/", Address: address})
 	if FateOf(err) != NotSent {
-		t.Fatalf("fate %s of %v", FateOf(err), err)
+		t.Fatalf("fate %s, want %s: %v", FateOf(err), NotSent, err)
 	}
 }
 
@@ -140,7 +142,7 @@
 	_, err := NewClient(Config{Codec: testCodec{}}).Do(ctx, &Call{ID: "a", Method: http.MethodGet, Target: "/", Address: server.listener.Addr().String()})
 	server.answers <- "|close"
 	if FateOf(err) != Unknown || !errors.Is(err, context.Canceled) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("Do returned %v, want fate unknown caused by context.Canceled", err)
 	}
 }
 
@@ -150,12 +152,12 @@
 	address := server.listener.Addr().String()
 	server.answers <- "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n|close"
 	if got := callOnce(client, address, "a"); got != `fate answered 200 ""` {
-		t.Fatal(got)
+		t.Fatalf("first call: %s", got)
 	}
 	time.Sleep(50 * time.Millisecond)
 	server.answers <- "HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 2\r\n\r\nok"
 	if got := callOnce(client, address, "b"); got != `fate answered 200 "ok"` {
-		t.Fatal(got)
+		t.Fatalf("second call: %s", got)
 	}
 }
 
@@ -164,7 +166,7 @@
 		"timeout=5": 5 * time.Second, "max=3, Timeout=2": 2 * time.Second, "": 0, "timeout=x": 0, "timeout": 0,
 	} {
 		if got := keepAlive(field); got != want {
-			t.Errorf("%q: %s, want %s", field, got, want)
+			t.Errorf("Keep-Alive %q: timeout %s, want %s", field, got, want)
 		}
 	}
 }
