--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -134,7 +134,7 @@
 }
 
 // causeAnswered is the logged cause when a recent success overrules an end.
-const causeAnswered = "answered with success a moment ago"
+const causeAnswered = "answered with success recently"
 
 // add adds an end and reports whether it is new, or confirms a silent one. The caller holds
 // b.mu.
@@ -184,7 +184,7 @@
 		}
 	}
 	b.config.Log.Warn(eventlog.SuspicionDropped, eventlog.Fields{
-		eventlog.Work: least.work.String(), "ends": len(least.ends), eventlog.Cause: "too many works are suspected",
+		eventlog.Work: least.work.String(), "ends": len(least.ends), eventlog.Cause: "too many suspected works",
 	})
 	b.forget(least, true)
 }
@@ -334,7 +334,7 @@
 		for id, k := range s.ends {
 			if k.How == HowGone && k.Node == b.config.Node && b.config.Backend(k.Backend).Present {
 				b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
-					eventlog.Work: s.work.String(), eventlog.Backend: k.Backend, eventlog.Cause: "the back end is in the registry again",
+					eventlog.Work: s.work.String(), eventlog.Backend: k.Backend, eventlog.Cause: "registry lists the back end again",
 				})
 				b.outbox.remove(keyOf(k.End))
 				b.withdraw(s, id, now)
@@ -358,7 +358,7 @@
 		}
 		old := s.oldest()
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
-			eventlog.Work: s.work.String(), eventlog.Backend: old.Backend, "age_ms": now.Sub(s.changed).Milliseconds(), eventlog.Cause: "old",
+			eventlog.Work: s.work.String(), eventlog.Backend: old.Backend, "age_ms": now.Sub(s.changed).Milliseconds(), eventlog.Cause: "expired",
 		})
 		b.outbox.remove(keyOf(old.End))
 		b.endTrial(s)
--- a/internal/gatewaynode/quarantine/key.go
+++ b/internal/gatewaynode/quarantine/key.go
@@ -31,7 +31,7 @@
 func (b *Book) takeKey(value []byte) {
 	var key fingerprint.Key
 	if copy(key[:], value) < len(key) {
-		b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: keyRow, eventlog.Cause: "too short"})
+		b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: keyRow, eventlog.Cause: "fingerprint key is too short"})
 		return
 	}
 	b.key.Store(&key)
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -205,7 +205,7 @@
 	// end sent nothing for too long.
 	ErrSilent = errors.New("nothing came for too long")
 	// ErrCut means that the Witness cancelled the call.
-	ErrCut    = errors.New("ended by this node: others like it end their back ends")
+	ErrCut    = errors.New("cancelled by this node: the request is quarantined")
 	errNotRun = errors.New("back end did not run it")
 )
 
