--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -41,9 +41,9 @@
 // suspectsMost bounds the suspected works that a node remembers, to about 2 MB.
 const suspectsMost = 4096
 
-// Book attributes failures of back ends to the works that they were running and decides
+// Tracker attributes failures of back ends to the works that they were running and decides
 // which works are quarantined. It is safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	config Config
 	// key is the fingerprint key, nil until it has been read from the store or written to it.
 	key atomic.Pointer[fingerprint.Key]
@@ -68,8 +68,8 @@
 }
 
 // New returns an empty Book.
-func New(config Config) *Book {
-	b := &Book{
+func New(config Config) *Tracker {
+	b := &Tracker{
 		config: config, backends: make(map[string]*backend), suspects: make(map[fingerprint.Fingerprint]*suspect),
 		answered: newAnswered(), outbox: newOutbox(),
 	}
@@ -79,11 +79,11 @@
 
 // Held returns the number of back ends that failed while running a quarantined work, or 0 if
 // the work is not quarantined.
-func (b *Book) Held(work fingerprint.Fingerprint) int { return (*b.held.Load())[work] }
+func (b *Tracker) Held(work fingerprint.Fingerprint) int { return (*b.held.Load())[work] }
 
 // HeldCount returns the number of quarantined works and of all suspected works, the
 // quarantined ones included.
-func (b *Book) HeldCount() (held, suspected int) {
+func (b *Tracker) HeldCount() (held, suspected int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(*b.held.Load()), len(b.suspects)
@@ -91,7 +91,7 @@
 
 // record adds an end that this node detected, unless a recent success speaks against it.
 // The caller holds b.mu.
-func (b *Book) record(end End, now time.Time) {
+func (b *Tracker) record(end Failure, now time.Time) {
 	if b.answered.lately(end.Work, now) {
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 			eventlog.Work: end.Work.String(), eventlog.Backend: end.Backend, "how": string(end.How), eventlog.Cause: causeAnswered,
@@ -101,7 +101,7 @@
 	if s := b.suspects[end.Work]; s != nil {
 		end.Life = s.lifeOf(end.Backend, end.How, now)
 	}
-	if !b.add(known{End: end, at: now}) {
+	if !b.add(known{Failure: end, at: now}) {
 		return
 	}
 	b.publish(b.suspects[end.Work])
@@ -110,24 +110,24 @@
 // publish queues the ends of a work for writing. A single HowGone failure stays local: while
 // the store is unavailable, all registry entries expire together and every unanswered call
 // would become evidence. The caller holds b.mu.
-func (b *Book) publish(s *suspect) {
+func (b *Tracker) publish(s *suspect) {
 	for _, k := range s.ends {
 		alone := len(s.ends) == 1
 		if k.stored || k.How == HowSilent || k.How == HowGone && alone {
 			continue
 		}
-		b.outbox.put(k.End, !alone)
+		b.outbox.put(k.Failure, !alone)
 	}
 }
 
 // learn adds an end that comes from another node or from the store. If this node recently
 // received a success for the work, it deletes the row instead. The caller holds b.mu.
-func (b *Book) learn(k known) {
+func (b *Tracker) learn(k known) {
 	if b.answered.lately(k.Work, k.at) {
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 			eventlog.Work: k.Work.String(), eventlog.Backend: k.Backend, "seen_by": k.Node, eventlog.Cause: causeAnswered,
 		})
-		b.outbox.remove(keyOf(k.End))
+		b.outbox.remove(keyOf(k.Failure))
 		return
 	}
 	b.add(k)
@@ -138,7 +138,7 @@
 
 // add adds an end and reports whether it is new, or confirms a silent one. The caller holds
 // b.mu.
-func (b *Book) add(k known) bool {
+func (b *Tracker) add(k known) bool {
 	s := b.suspects[k.Work]
 	if s == nil {
 		if len(b.suspects) >= suspectsMost {
@@ -163,7 +163,7 @@
 // saySuspected logs an end of a work from the second on. The first ends are covered by the
 // event for the back end, since its failure makes all of its unanswered requests suspects.
 // The caller holds b.mu.
-func (b *Book) saySuspected(s *suspect, k known) {
+func (b *Tracker) saySuspected(s *suspect, k known) {
 	count := s.count(k.at)
 	if count < 2 {
 		return
@@ -176,7 +176,7 @@
 
 // evict forgets the work with the fewest ends, and among equals the one that has not changed
 // for longest. The caller holds b.mu.
-func (b *Book) evict() {
+func (b *Tracker) evict() {
 	var least *suspect
 	for _, s := range b.suspects {
 		if least == nil || len(s.ends) < len(least.ends) || len(s.ends) == len(least.ends) && s.changed.Before(least.changed) {
@@ -190,9 +190,9 @@
 }
 
 // judge quarantines or releases a work by its number of ends. The caller holds b.mu.
-func (b *Book) judge(s *suspect, now time.Time) {
+func (b *Tracker) judge(s *suspect, now time.Time) {
 	count := s.count(now)
-	held := count >= DeadlyEnds
+	held := count >= QuarantineThreshold
 	if held == s.held {
 		if held && (*b.held.Load())[s.work] != count {
 			b.setHeld(s.work, count)
@@ -213,7 +213,7 @@
 
 // setHeld sets the number of ends of a quarantined work, or removes the work from the
 // quarantine if ends is 0. The caller holds b.mu.
-func (b *Book) setHeld(work fingerprint.Fingerprint, ends int) {
+func (b *Tracker) setHeld(work fingerprint.Fingerprint, ends int) {
 	next := maps.Clone(*b.held.Load())
 	if ends == 0 {
 		delete(next, work)
@@ -228,7 +228,7 @@
 
 // cutRuns cancels the calls of a work that are in progress, as they may still be queued at
 // their back ends. It returns their number. The caller holds b.mu.
-func (b *Book) cutRuns(work fingerprint.Fingerprint) int {
+func (b *Tracker) cutRuns(work fingerprint.Fingerprint) int {
 	count := 0
 	for _, held := range b.backends {
 		for r := range held.runs {
@@ -242,7 +242,7 @@
 }
 
 // succeeded clears a work after a complete 2xx response. The caller holds b.mu.
-func (b *Book) succeeded(r *run, now time.Time) {
+func (b *Tracker) succeeded(r *run, now time.Time) {
 	work := r.work
 	b.answered.add(work, now)
 	s := b.suspects[work]
@@ -258,7 +258,7 @@
 
 // Lift clears a work on all nodes at an operator's request and reports whether it was
 // suspected.
-func (b *Book) Lift(work fingerprint.Fingerprint) bool {
+func (b *Tracker) Lift(work fingerprint.Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[work]
@@ -272,10 +272,10 @@
 
 // forget removes a work from this node and, if everywhere is set, its rows from the store.
 // The caller holds b.mu.
-func (b *Book) forget(s *suspect, everywhere bool) {
+func (b *Tracker) forget(s *suspect, everywhere bool) {
 	if everywhere {
 		for _, k := range s.ends {
-			b.outbox.remove(keyOf(k.End))
+			b.outbox.remove(keyOf(k.Failure))
 		}
 		b.endTrial(s)
 	}
@@ -286,7 +286,7 @@
 }
 
 // withdraw removes an end from this node. The caller holds b.mu.
-func (b *Book) withdraw(s *suspect, id endID, now time.Time) {
+func (b *Tracker) withdraw(s *suspect, id endID, now time.Time) {
 	delete(s.ends, id)
 	s.touch(now)
 	if len(s.ends) == 0 {
@@ -297,7 +297,7 @@
 }
 
 // Suspects returns all suspected works, those with the most ends first.
-func (b *Book) Suspects() []Suspect {
+func (b *Tracker) Suspects() []Suspect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Suspect, 0, len(b.suspects))
@@ -305,7 +305,7 @@
 	for _, s := range b.suspects {
 		told := Suspect{Work: s.work, Held: s.held, Changed: now.Sub(s.changed)}
 		for _, id := range slices.Sorted(maps.Keys(s.ends)) {
-			told.Ends = append(told.Ends, s.ends[id].End)
+			told.Ends = append(told.Ends, s.ends[id].Failure)
 		}
 		list = append(list, told)
 	}
@@ -318,7 +318,7 @@
 // RegistryChanged compares the followed back ends with the registry and must be called after
 // each change of it. Calls to a back end without an entry count as evidence, and a HowGone
 // end of this node is withdrawn if the entry is back.
-func (b *Book) RegistryChanged() {
+func (b *Tracker) RegistryChanged() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -336,7 +336,7 @@
 				b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 					eventlog.Work: s.work.String(), eventlog.Backend: k.Backend, eventlog.Cause: "registry lists the back end again",
 				})
-				b.outbox.remove(keyOf(k.End))
+				b.outbox.remove(keyOf(k.Failure))
 				b.withdraw(s, id, now)
 			}
 		}
@@ -344,7 +344,7 @@
 }
 
 // age removes expired runs and ends.
-func (b *Book) age(now time.Time) {
+func (b *Tracker) age(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweep(now)
@@ -360,7 +360,7 @@
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 			eventlog.Work: s.work.String(), eventlog.Backend: old.Backend, "age_ms": now.Sub(s.changed).Milliseconds(), eventlog.Cause: "expired",
 		})
-		b.outbox.remove(keyOf(old.End))
+		b.outbox.remove(keyOf(old.Failure))
 		b.endTrial(s)
 		b.withdraw(s, old.id(), now)
 	}
@@ -368,7 +368,7 @@
 
 // dropPresumed withdraws the silent ends that expired without a confirmation. The caller
 // holds b.mu.
-func (b *Book) dropPresumed(s *suspect, now time.Time) {
+func (b *Tracker) dropPresumed(s *suspect, now time.Time) {
 	for id, k := range s.ends {
 		if !k.counts(now) {
 			b.withdraw(s, id, now)
@@ -378,14 +378,14 @@
 
 // Dropped returns the number of calls that were not followed and of row changes that were
 // not queued since a bound was reached.
-func (b *Book) Dropped() (calls, rows int) {
+func (b *Tracker) Dropped() (calls, rows int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.unfollowed, b.outbox.dropped
 }
 
 // sayEnded logs the failure of a back end that had unanswered calls. The caller holds b.mu.
-func (b *Book) sayEnded(held *backend, how How, count int, works map[string]bool) {
+func (b *Tracker) sayEnded(held *backend, how How, count int, works map[string]bool) {
 	if count == 0 {
 		return
 	}
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/book_test.go
@@ -23,7 +23,7 @@
 
 // scene is the book of one node, with back ends whose state a script sets.
 type scene struct {
-	book     *Book
+	book     *Tracker
 	store    *rowstoretest.Store
 	backends map[string]Registered
 	// dials maps back ends to the outcome of a dial: "refused", "silent" (a timeout) or, by
@@ -100,12 +100,12 @@
 		_, _ = fmt.Sscan(arg(d, "status", "0"), &status)
 		s.traces[name].End(endNames[arg(d, "as", "lost")], status)
 	case "row":
-		end := End{Work: workOf(arg(d, "work", "")), Backend: name, How: HowRefused, Node: "n2"}
+		end := Failure{Work: workOf(arg(d, "work", "")), Backend: name, How: HowRefused, Node: "n2"}
 		row := rowOf(end)
 		row.Deleted = arg(d, "deleted", "") != ""
 		s.book.Apply([]rowstore.Row{row}, false)
 	case "told":
-		s.book.Told(Message([]End{{Work: workOf(arg(d, "work", "")), Backend: name, How: HowRefused, Node: "n2"}}))
+		s.book.Told(Message([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, How: HowRefused, Node: "n2"}}))
 	case "age":
 		s.book.age(time.Now())
 	case "lift":
@@ -183,7 +183,7 @@
 		s := newScene()
 		for i := range 2 * suspectsMost {
 			for e := range 1 + 2*((i+1)%2)*((i+2)/2%2) {
-				s.book.Told(Message([]End{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), How: HowRefused, Node: "n2"}}))
+				s.book.Told(Message([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), How: HowRefused, Node: "n2"}}))
 			}
 		}
 		held, suspected := s.book.HeldCount()
@@ -213,7 +213,7 @@
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
 			t.Error("the loss of a call that is not followed counts as evidence")
 		}
-		s.book.Told(Message([]End{{Work: workOf("w"), Backend: "b3", How: HowRefused, Node: "n2"}}))
+		s.book.Told(Message([]Failure{{Work: workOf("w"), Backend: "b3", How: HowRefused, Node: "n2"}}))
 		over().End(upstream.EndWhole, 200)
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
 			t.Error("the success of a call that is not followed does not clear its work")
@@ -231,7 +231,7 @@
 		s := newScene()
 		second := New(Config{Node: "n2", Store: s.store, Dial: s.dial, Backend: func(string) Registered { return Registered{Present: true} }})
 		s.backends["b1"], s.dials["b1"] = Registered{Present: true}, "refused"
-		for _, book := range []*Book{s.book, second} {
+		for _, book := range []*Tracker{s.book, second} {
 			book.Begin(&upstream.Call{Work: workOf("w"), Instance: "b1", Address: "b1"}, func() {}).End(upstream.EndLost, 0)
 			synctest.Wait()
 			book.write(t.Context(), Writer{})
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// DeadlyEnds is the number of back-end failures that quarantines a work. With fewer, a
+	// QuarantineThreshold is the number of back-end failures that quarantines a work. With fewer, a
 	// harmless request that ran beside a deadly one in two attempts would be quarantined.
-	DeadlyEnds = 3
-	// KeepEnd is how long after the last change to a work its oldest failure is forgotten.
-	KeepEnd = 10 * time.Minute
+	QuarantineThreshold = 3
+	// FailureTTL is how long after the last change to a work its oldest failure is forgotten.
+	FailureTTL = 10 * time.Minute
 	// keepSpread is the random addition to KeepEnd on each node, so that usually one node
 	// deletes the row and the others see it deleted.
-	keepSpread = KeepEnd / 10
+	keepSpread = FailureTTL / 10
 	// silentKeep is how long an unconfirmed HowSilent failure counts. It exceeds the 3.5 s
 	// within which the registry drops a back end that stopped reporting.
 	silentKeep = 5 * time.Second
@@ -37,8 +37,8 @@
 	HowSilent How = "silent"
 )
 
-// End is the failure of a back end while it was running a work.
-type End struct {
+// Failure is the failure of a back end while it was running a work.
+type Failure struct {
 	Work    fingerprint.Fingerprint
 	Backend string
 	// Life numbers the failures of one back end from 0, since a back end may restart under
@@ -53,11 +53,11 @@
 // endID identifies an End among those of its work.
 type endID string
 
-func (e End) id() endID { return endID(e.Backend + "/" + strconv.Itoa(e.Life)) }
+func (e Failure) id() endID { return endID(e.Backend + "/" + strconv.Itoa(e.Life)) }
 
 // known is an End with this node's state of it.
 type known struct {
-	End
+	Failure
 	// at is when this node learned of the end.
 	at time.Time
 	// stored reports whether the row is in the store.
@@ -87,7 +87,7 @@
 
 // touch records that an end was added or removed, and restarts the expiry.
 func (s *suspect) touch(now time.Time) {
-	s.changed, s.forget = now, now.Add(KeepEnd+rand.N(keepSpread))
+	s.changed, s.forget = now, now.Add(FailureTTL+rand.N(keepSpread))
 }
 
 // count returns the number of ends that count as evidence at time now.
@@ -136,7 +136,7 @@
 // Suspect describes a suspected work to operators.
 type Suspect struct {
 	Work fingerprint.Fingerprint
-	Ends []End
+	Ends []Failure
 	// Held reports whether the work is quarantined.
 	Held bool
 	// Changed is the time since the last change.
--- a/internal/gatewaynode/quarantine/handler.go
+++ b/internal/gatewaynode/quarantine/handler.go
@@ -25,7 +25,7 @@
 
 // Handler returns the operators' interface: GET HandlerPath lists the suspected works, and
 // DELETE HandlerPath followed by a fingerprint clears that work on all nodes.
-func Handler(b *Book) http.Handler {
+func Handler(b *Tracker) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+HandlerPath, func(w http.ResponseWriter, _ *http.Request) {
 		list := []told{}
--- a/internal/gatewaynode/quarantine/key.go
+++ b/internal/gatewaynode/quarantine/key.go
@@ -15,7 +15,7 @@
 
 // Of returns the fingerprint of a request, or the zero value until the key has been read
 // from the store.
-func (b *Book) Of(work fingerprint.Work) fingerprint.Fingerprint {
+func (b *Tracker) Of(work fingerprint.Work) fingerprint.Fingerprint {
 	key := b.key.Load()
 	if key == nil {
 		return fingerprint.Fingerprint{}
@@ -25,10 +25,10 @@
 
 // Known reports whether the fingerprint key is available. Without it a node cannot
 // recognize quarantined requests and must not serve.
-func (b *Book) Known() bool { return b.key.Load() != nil }
+func (b *Tracker) Known() bool { return b.key.Load() != nil }
 
 // takeKey sets the fingerprint key to the value of its row.
-func (b *Book) takeKey(value []byte) {
+func (b *Tracker) takeKey(value []byte) {
 	var key fingerprint.Key
 	if copy(key[:], value) < len(key) {
 		b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: keyRow, eventlog.Cause: "fingerprint key is too short"})
@@ -39,7 +39,7 @@
 
 // makeKey writes a new fingerprint key unless the store has one. Of several nodes that do so
 // at the same time, one succeeds.
-func (b *Book) makeKey(ctx context.Context) {
+func (b *Tracker) makeKey(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, writeLimit)
 	defer cancel()
 	key := fingerprint.NewKey()
--- a/internal/gatewaynode/quarantine/outbox.go
+++ b/internal/gatewaynode/quarantine/outbox.go
@@ -12,11 +12,11 @@
 // rowKey is the key of the row of an end or trial.
 type rowKey string
 
-func keyOf(end End) rowKey { return rowKey(end.Work.String() + "/" + string(end.id())) }
+func keyOf(end Failure) rowKey { return rowKey(end.Work.String() + "/" + string(end.id())) }
 
 // unwritten is an end that is queued for writing.
 type unwritten struct {
-	end End
+	end Failure
 	// told reports whether the end was sent to other nodes directly.
 	told bool
 }
@@ -35,7 +35,7 @@
 }
 
 // put queues an end for writing; again means that its work has other ends too.
-func (o *outbox) put(end End, again bool) {
+func (o *outbox) put(end Failure, again bool) {
 	key := keyOf(end)
 	delete(o.deletes, key)
 	if len(o.puts) >= outboxMost || !again && len(o.puts) >= firstsMost {
--- a/internal/gatewaynode/quarantine/probe.go
+++ b/internal/gatewaynode/quarantine/probe.go
@@ -36,7 +36,7 @@
 
 // probe starts a probe of a back end unless one is in progress or there are too many. The
 // caller holds b.mu.
-func (b *Book) probe(held *backend) {
+func (b *Tracker) probe(held *backend) {
 	if held.probing || b.probes >= probesMost {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // try opens a connection to an address and closes it.
-func (b *Book) try(address string) standing {
+func (b *Tracker) try(address string) standing {
 	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
 	defer cancel()
 	conn, err := b.config.Dial(ctx, "tcp", address)
@@ -77,7 +77,7 @@
 // found handles the result of a probe that started at began. If the back end is there, the
 // calls lost before the probe are dropped, and ones lost since cause another probe. The
 // caller holds b.mu.
-func (b *Book) found(held *backend, as standing, began, now time.Time) {
+func (b *Tracker) found(held *backend, as standing, began, now time.Time) {
 	switch as {
 	case standingEnded:
 		b.endedUnder(held, HowRefused, now)
@@ -103,20 +103,20 @@
 
 // presume records a provisional failure of a back end that does not respond, for its calls
 // that were lost or were given up without a recent response. The caller holds b.mu.
-func (b *Book) presume(held *backend, now time.Time) {
+func (b *Tracker) presume(held *backend, now time.Time) {
 	if held.leaving {
 		return
 	}
 	for r := range held.runs {
 		if r.lost || !r.ended.IsZero() && r.silent(now) {
-			b.record(End{Work: r.work, Backend: held.id, Service: held.service, How: HowSilent, Node: b.config.Node}, now)
+			b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, How: HowSilent, Node: b.config.Node}, now)
 		}
 	}
 }
 
 // endedUnder records the failure of a back end for the calls that may have been running
 // there, unless it was draining, and follows its calls no longer. The caller holds b.mu.
-func (b *Book) endedUnder(held *backend, how How, now time.Time) {
+func (b *Tracker) endedUnder(held *backend, how How, now time.Time) {
 	works, count := make(map[string]bool), 0
 	// The registry may report the draining only after the last call was sent.
 	held.leaving = held.leaving || b.config.Backend(held.id).Leaving
@@ -125,7 +125,7 @@
 			count++
 			if !held.leaving {
 				works[r.work.String()] = true
-				b.record(End{Work: r.work, Backend: held.id, Service: held.service, How: how, Node: b.config.Node}, now)
+				b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, How: how, Node: b.config.Node}, now)
 			}
 		}
 		b.drop(r)
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -27,44 +27,44 @@
 var errRow = errors.New("quarantine: row key is not of the form work/backend/number")
 
 // endOf decodes a row. For a deleted row it returns the fields in the key only.
-func endOf(r rowstore.Row) (End, error) {
+func endOf(r rowstore.Row) (Failure, error) {
 	end, err := endOfKey(r.Key)
 	if err != nil || r.Deleted {
 		return end, err
 	}
 	var value row
 	if err := json.Unmarshal(r.Value, &value); err != nil {
-		return End{}, err
+		return Failure{}, err
 	}
 	return value.with(end), nil
 }
 
 // endOfKey decodes a row key of the form work/backend/number. The backend may itself
 // contain slashes.
-func endOfKey(key string) (End, error) {
+func endOfKey(key string) (Failure, error) {
 	work, rest, _ := strings.Cut(key, "/")
 	last := strings.LastIndex(rest, "/")
 	if last <= 0 {
-		return End{}, errRow
+		return Failure{}, errRow
 	}
 	life, err := strconv.Atoi(rest[last+1:])
 	if err != nil {
-		return End{}, errRow
+		return Failure{}, errRow
 	}
 	parsed, err := fingerprint.Parse(work)
-	return End{Work: parsed, Backend: rest[:last], Life: life}, err
+	return Failure{Work: parsed, Backend: rest[:last], Life: life}, err
 }
 
 // with returns end with the fields of the row value set.
-func (r row) with(end End) End {
+func (r row) with(end Failure) Failure {
 	end.Service, end.How, end.Node = r.Service, r.How, r.Node
 	return end
 }
 
-func rowValue(end End) row { return row{Service: end.Service, How: end.How, Node: end.Node} }
+func rowValue(end Failure) row { return row{Service: end.Service, How: end.How, Node: end.Node} }
 
 // rowOf encodes an end as a row.
-func rowOf(end End) rowstore.Row {
+func rowOf(end Failure) rowstore.Row {
 	value, err := json.Marshal(rowValue(end))
 	if err != nil {
 		panic("quarantine: encode failure row: " + err.Error())
@@ -76,7 +76,7 @@
 
 // Apply takes changed rows of Table, or all of its rows if complete is set. It implements
 // rowstore.ViewConfig.Apply.
-func (b *Book) Apply(rows []rowstore.Row, complete bool) {
+func (b *Tracker) Apply(rows []rowstore.Row, complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -100,7 +100,7 @@
 			continue
 		}
 		present[keyOf(end)] = true
-		b.learn(known{End: end, at: now, stored: true})
+		b.learn(known{Failure: end, at: now, stored: true})
 	}
 	if !complete {
 		return
@@ -110,8 +110,8 @@
 	}
 	for _, s := range b.suspects {
 		for _, k := range s.ends {
-			if k.stored && !present[keyOf(k.End)] {
-				b.cleared(k.End, now)
+			if k.stored && !present[keyOf(k.Failure)] {
+				b.cleared(k.Failure, now)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 
 // cleared withdraws an end whose row was deleted. An end that this node has not yet written
 // stays. The caller holds b.mu.
-func (b *Book) cleared(end End, now time.Time) {
+func (b *Tracker) cleared(end Failure, now time.Time) {
 	s := b.suspects[end.Work]
 	if s == nil {
 		return
@@ -138,7 +138,7 @@
 }
 
 // Message encodes ends for Told.
-func Message(ends []End) json.RawMessage {
+func Message(ends []Failure) json.RawMessage {
 	list := make([]message, 0, len(ends))
 	for _, end := range ends {
 		list = append(list, message{Key: string(keyOf(end)), row: rowValue(end)})
@@ -151,7 +151,7 @@
 }
 
 // Told takes a Message from another node that could not write the ends to the store.
-func (b *Book) Told(encoded json.RawMessage) {
+func (b *Tracker) Told(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
 		b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Cause: err.Error()})
@@ -166,6 +166,6 @@
 			b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: m.Key, eventlog.Cause: err.Error()})
 			continue
 		}
-		b.learn(known{End: m.with(end), at: now})
+		b.learn(known{Failure: m.with(end), at: now})
 	}
 }
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -23,7 +23,7 @@
 
 // run is a call to a back end that has no complete response.
 type run struct {
-	book *Book
+	book *Tracker
 	// backend is nil if the run is not followed since there are too many.
 	backend *backend
 	// request and work are the id and fingerprint of the call. The call itself is not kept,
@@ -78,7 +78,7 @@
 }
 
 // Begin implements upstream.Witness.
-func (b *Book) Begin(call *upstream.Call, cut func()) upstream.Trace {
+func (b *Tracker) Begin(call *upstream.Call, cut func()) upstream.Trace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := &run{book: b, request: call.ID, work: call.Work, at: call.Instance, cut: cut, sent: time.Now()}
@@ -109,7 +109,7 @@
 }
 
 // drop stops following a run. The caller holds b.mu.
-func (b *Book) drop(r *run) {
+func (b *Tracker) drop(r *run) {
 	if !r.followed() {
 		return
 	}
@@ -156,7 +156,7 @@
 
 // sweep stops following ended calls that are no longer suspected, including lost ones after
 // silentRunKeep. The caller holds b.mu.
-func (b *Book) sweep(now time.Time) {
+func (b *Tracker) sweep(now time.Time) {
 	for _, held := range b.backends {
 		for r := range held.runs {
 			old := !r.ended.IsZero() && now.Sub(r.ended) >= silentRunKeep
--- a/internal/gatewaynode/quarantine/trial.go
+++ b/internal/gatewaynode/quarantine/trial.go
@@ -43,7 +43,7 @@
 
 // endTrial deletes the row of a work's trial, if there is one, so that another trial is
 // possible. The caller holds b.mu.
-func (b *Book) endTrial(s *suspect) {
+func (b *Tracker) endTrial(s *suspect) {
 	if s.trial == trialTaken {
 		b.outbox.remove(rowKey(trialID(s.work).Key))
 	}
@@ -61,7 +61,7 @@
 
 // Retry returns the time after which a client may retry a quarantined work: until its trial
 // or, if the trial was taken, until one of its ends is forgotten.
-func (b *Book) Retry(work fingerprint.Fingerprint) time.Duration {
+func (b *Tracker) Retry(work fingerprint.Fingerprint) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[work]
@@ -69,7 +69,7 @@
 		return 0
 	}
 	if s.trial == trialTaken {
-		return max(KeepEnd-time.Since(s.changed), trialAfter)
+		return max(FailureTTL-time.Since(s.changed), trialAfter)
 	}
 	return max(trialAfter-time.Since(s.heldSince), 0)
 }
@@ -78,7 +78,7 @@
 // node may then send the work once, to one back end. There is one trial for all nodes, which
 // belongs to the node that creates its row. If the trial succeeds, the work is cleared;
 // otherwise it stays quarantined until one of its ends is forgotten.
-func (b *Book) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
+func (b *Tracker) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
 	if !b.ask(work) {
 		return false
 	}
@@ -110,7 +110,7 @@
 }
 
 // MayTry reports whether the trial of a quarantined work may be requested now.
-func (b *Book) MayTry(work fingerprint.Fingerprint) bool {
+func (b *Tracker) MayTry(work fingerprint.Fingerprint) bool {
 	if b.Held(work) == 0 {
 		return false
 	}
@@ -120,13 +120,13 @@
 }
 
 // mayTry is MayTry for a suspect, which may be nil. The caller holds b.mu.
-func (b *Book) mayTry(s *suspect) bool {
+func (b *Tracker) mayTry(s *suspect) bool {
 	return s != nil && s.held && s.trial == trialOpen && time.Since(s.heldSince) >= trialAfter && !time.Now().Before(s.askAgain)
 }
 
 // ask marks the trial of a work as being acquired by this node and reports whether that was
 // possible.
-func (b *Book) ask(work fingerprint.Fingerprint) bool {
+func (b *Tracker) ask(work fingerprint.Fingerprint) bool {
 	if b.Held(work) == 0 {
 		return false
 	}
@@ -141,7 +141,7 @@
 }
 
 // sawTrial handles a change of a trial row. The caller holds b.mu.
-func (b *Book) sawTrial(work fingerprint.Fingerprint, deleted bool) {
+func (b *Tracker) sawTrial(work fingerprint.Fingerprint, deleted bool) {
 	s := b.suspects[work]
 	if s == nil {
 		return
--- a/internal/gatewaynode/quarantine/writer.go
+++ b/internal/gatewaynode/quarantine/writer.go
@@ -35,11 +35,11 @@
 	// Rest returns the time between two transactions of this node while all nodes write.
 	Rest func() time.Duration
 	// Tell, if not nil, sends ends that could not be written to the other nodes.
-	Tell func(context.Context, []End)
+	Tell func(context.Context, []Failure)
 }
 
 // Run writes evidence to the store and removes expired evidence until ctx is done.
-func (b *Book) Run(ctx context.Context, w Writer) {
+func (b *Tracker) Run(ctx context.Context, w Writer) {
 	limiter := rate.NewLimiter(rate.Every(w.Rest()), writeBurst)
 	ticker := time.NewTicker(ageEvery)
 	defer ticker.Stop()
@@ -64,7 +64,7 @@
 }
 
 // write commits one transaction of queued changes and wakes Run again if any are left.
-func (b *Book) write(ctx context.Context, w Writer) {
+func (b *Tracker) write(ctx context.Context, w Writer) {
 	puts, deletes := b.take()
 	if len(puts)+len(deletes) == 0 {
 		return
@@ -92,13 +92,13 @@
 }
 
 // take returns the changes of the next transaction, those of works with the most ends first.
-func (b *Book) take() (puts []End, deletes []rowKey) {
+func (b *Tracker) take() (puts []Failure, deletes []rowKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, waiting := range b.outbox.puts {
 		puts = append(puts, waiting.end)
 	}
-	slices.SortFunc(puts, func(x, y End) int {
+	slices.SortFunc(puts, func(x, y Failure) int {
 		return cmp.Or(cmp.Compare(b.ends(y.Work), b.ends(x.Work)), cmp.Compare(keyOf(x), keyOf(y)))
 	})
 	puts = puts[:min(len(puts), rowsMost)]
@@ -112,7 +112,7 @@
 
 // tell sends ends that could not be written to the other nodes in the background, once
 // tellAfter writes in a row have failed. At most one Writer.Tell is in progress.
-func (b *Book) tell(ctx context.Context, w Writer, puts []End) {
+func (b *Tracker) tell(ctx context.Context, w Writer, puts []Failure) {
 	if w.Tell == nil || b.failures < tellAfter || !b.telling.CompareAndSwap(false, true) {
 		return
 	}
@@ -126,10 +126,10 @@
 }
 
 // untold returns those of puts that were not sent to other nodes yet and marks them as sent.
-func (b *Book) untold(puts []End) []End {
+func (b *Tracker) untold(puts []Failure) []Failure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []End
+	var list []Failure
 	for _, end := range puts {
 		waiting, found := b.outbox.puts[keyOf(end)]
 		if found && !waiting.told {
@@ -142,7 +142,7 @@
 }
 
 // ends returns the number of ends of a work. The caller holds b.mu.
-func (b *Book) ends(work fingerprint.Fingerprint) int {
+func (b *Tracker) ends(work fingerprint.Fingerprint) int {
 	if s := b.suspects[work]; s != nil {
 		return len(s.ends)
 	}
@@ -151,7 +151,7 @@
 
 // written removes the changes of a successful transaction from the queue. Those of a failed
 // one stay, as writing them twice has no effect.
-func (b *Book) written(puts []End, deletes []rowKey, done bool) {
+func (b *Tracker) written(puts []Failure, deletes []rowKey, done bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, end := range puts {
--- a/internal/gatewaynode/storenode/quarantine.go
+++ b/internal/gatewaynode/storenode/quarantine.go
@@ -24,10 +24,10 @@
 }
 
 // Quarantine returns what the node knows of requests that end their back ends.
-func (n *Node) Quarantine() *quarantine.Book { return n.quarantine }
+func (n *Node) Quarantine() *quarantine.Tracker { return n.quarantine }
 
 // tellEvidence tells other nodes of ends that could not be written to the store.
-func (n *Node) tellEvidence(ctx context.Context, ends []quarantine.End) {
+func (n *Node) tellEvidence(ctx context.Context, ends []quarantine.Failure) {
 	if n.config.Tell != nil {
 		n.config.Tell(ctx, quarantine.Message(ends))
 	}
--- a/internal/gatewaynode/storenode/storenode.go
+++ b/internal/gatewaynode/storenode/storenode.go
@@ -115,7 +115,7 @@
 	coldZones   coldZones
 	away        awayWatch
 	// quarantine holds the requests under which back ends ended.
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 	client     *upstream.Client
 	distances  *place.Distances
 	reach      *reach.Book
