--- a/internal/gatewaynode/batch/demand.go
+++ b/internal/gatewaynode/batch/demand.go
@@ -17,7 +17,7 @@
 	demand := make(map[string]float64)
 	for _, state := range m.jobs {
 		if state.known && now.Sub(state.seen) < demandWindow {
-			demand[state.head.Model] += float64(state.head.Work)
+			demand[state.head.Model] += float64(state.head.ExpectedTokens)
 		}
 	}
 	return demand
--- a/internal/gatewaynode/batch/doc.go
+++ b/internal/gatewaynode/batch/doc.go
@@ -122,14 +122,14 @@
 type Caller struct {
 	// Tenant is the tenant of the caller's key, empty for a caller without a key.
 	Tenant string
-	// Anyone is set if the configuration defines no tenants. Every job is then
+	// AllTenants is set if the configuration defines no tenants. Every job is then
 	// visible to every caller.
-	Anyone bool
+	AllTenants bool
 }
 
 // mayAccess reports whether the caller may access the job with the given head.
 func (c Caller) mayAccess(head Head) bool {
-	return c.Anyone || head.Tenant == "" || head.Tenant == c.Tenant
+	return c.AllTenants || head.Tenant == "" || head.Tenant == c.Tenant
 }
 
 // Head is the row that records the owner and the progress of a job.
@@ -137,9 +137,9 @@
 	Owner       string `json:"owner"`
 	Incarnation int64  `json:"incarnation"`
 	Epoch       int64  `json:"epoch"`
-	// Pool is the key by which the owner is chosen; see ownerKey.
-	Pool  string `json:"pool"`
-	Model string `json:"model,omitempty"`
+	// OwnerKey is the key by which the owner is chosen; see ownerKey.
+	OwnerKey string `json:"pool"`
+	Model    string `json:"model,omitempty"`
 	// Tenant is the tenant for which the job runs, empty if there is none. It is
 	// resolved from the caller's key when the job is accepted; revoking the key later
 	// does not end the job.
@@ -149,8 +149,8 @@
 	// configuration no longer has the route.
 	Route   string   `json:"route,omitempty"`
 	Regions []string `json:"regions,omitempty"`
-	// Work is the expected number of output tokens of all items.
-	Work int `json:"work,omitempty"`
+	// ExpectedTokens is the expected number of output tokens of all items.
+	ExpectedTokens int `json:"work,omitempty"`
 	// Width is the number of items that have to run concurrently, 0 if unknown.
 	Width int `json:"width,omitempty"`
 	// Total is the number of items, Count the number of committed results.
@@ -214,8 +214,8 @@
 	Unavailable
 	// Uncertain means that the operation may have taken effect or may do so later.
 	Uncertain
-	// Taken means that the job's id is in use by a job of another tenant.
-	Taken
+	// IDInUse means that the job's id is in use by a job of another tenant.
+	IDInUse
 	// NoRegion means that the job's route and its tenant have no region in common.
 	// Nothing was changed.
 	NoRegion
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -45,18 +45,18 @@
 	VersionField string
 	// Pacing limits how often the store is read.
 	Pacing rowstore.Pacing
-	// Keep is how long a job stays readable after its submission.
-	Keep time.Duration
-	// OnWork is called when this node opens a job while it has none open. It may be
+	// Retention is how long a job stays readable after its submission.
+	Retention time.Duration
+	// OnActive is called when this node opens a job while it has none open. It may be
 	// nil.
-	OnWork func()
-	// Orders reports whether this node orders backends to load models or is among the
+	OnActive func()
+	// OrdersLoads reports whether this node orders backends to load models or is among the
 	// first that would take that role over; the orders depend on the jobs. It may be
 	// nil.
-	Orders func() bool
-	// Settle is the time within which a result that any node has returned must be
+	OrdersLoads func() bool
+	// VisibilityDelay is the time within which a result that any node has returned must be
 	// visible on every node.
-	Settle time.Duration
+	VisibilityDelay time.Duration
 }
 
 // Trials grants trial runs of quarantined requests.
@@ -147,11 +147,11 @@
 	m.mu.Lock()
 	held := m.heldReads
 	m.mu.Unlock()
-	return held > 0 || m.OwnsJobs() || m.config.Orders != nil && m.config.Orders()
+	return held > 0 || m.OwnsJobs() || m.config.OrdersLoads != nil && m.config.OrdersLoads()
 }
 
-// Known reports whether the heads of all jobs have been read once.
-func (m *Manager) Known() bool { return m.view.Status().Loaded }
+// Loaded reports whether the heads of all jobs have been read once.
+func (m *Manager) Loaded() bool { return m.view.Status().Loaded }
 
 // needsHeads reports whether this node uses the heads or may take over jobs.
 func (m *Manager) needsHeads() bool {
@@ -222,7 +222,7 @@
 	if complete {
 		for id, state := range m.jobs {
 			// A job that this node has just written may be newer than this read.
-			if !present[id] && time.Since(state.seen) > m.config.Keep {
+			if !present[id] && time.Since(state.seen) > m.config.Retention {
 				delete(m.jobs, id)
 			}
 		}
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -129,9 +129,9 @@
 		state.orphaned = now
 	}
 	current.orphanedFor = now.Sub(state.orphaned)
-	candidates := presence.Rank(members().KeepersWithin(regions), state.head.Pool)
+	candidates := presence.Rank(members().KeepersWithin(regions), state.head.OwnerKey)
 	current.rank = presence.Place(candidates, m.self.Name)
-	first := presence.Place(presence.Rank(members().KeepersWithin(place.Regions{}), state.head.Pool), m.self.Name) == 0
+	first := presence.Place(presence.Rank(members().KeepersWithin(place.Regions{}), state.head.OwnerKey), m.self.Name) == 0
 	m.noteWaiting(state, regions, len(candidates) == 0, first)
 }
 
@@ -231,7 +231,7 @@
 	if !found || state.ended || state.head.Count >= state.head.Total {
 		return
 	}
-	next, found := m.chooseOwner(state.head.Pool, m.regionsOf(state.head), time.Now())
+	next, found := m.chooseOwner(state.head.OwnerKey, m.regionsOf(state.head), time.Now())
 	if found && next.Name == m.self.Name {
 		return
 	}
@@ -265,7 +265,7 @@
 	m.mu.Lock()
 	expired := ""
 	for id, state := range m.jobs {
-		if now.Sub(state.seen) > m.config.Keep+retentionMargin && state.known && state.head.age(now) > m.config.Keep+retentionMargin {
+		if now.Sub(state.seen) > m.config.Retention+retentionMargin && state.known && state.head.age(now) > m.config.Retention+retentionMargin {
 			expired = id
 			break
 		}
--- a/internal/gatewaynode/batch/results.go
+++ b/internal/gatewaynode/batch/results.go
@@ -83,7 +83,7 @@
 func (m *Manager) refreshed(ctx context.Context, state jobState) jobState {
 	status := m.view.Status()
 	owned := state.head.Owner == m.self.Name && m.runner.has(state.id)
-	if owned || status.Healthy && status.Age(time.Now()) <= time.Duration(maxViewAgeShare*float64(m.config.Settle)) {
+	if owned || status.Healthy && status.Age(time.Now()) <= time.Duration(maxViewAgeShare*float64(m.config.VisibilityDelay)) {
 		return state
 	}
 	if read, status := m.readHead(ctx, state.id); status == OK {
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -207,8 +207,8 @@
 	return r.jobs[id] != nil
 }
 
-// Work returns the number of open jobs and of their items that are running.
-func (m *Manager) Work() (jobs, items int) {
+// Running returns the number of open jobs and of their items that are running.
+func (m *Manager) Running() (jobs, items int) {
 	m.runner.mu.Lock()
 	defer m.runner.mu.Unlock()
 	for _, job := range m.runner.jobs {
@@ -252,8 +252,8 @@
 	r.jobs[id] = job
 	first := len(r.jobs) == 1
 	r.mu.Unlock()
-	if first && r.manager.config.OnWork != nil {
-		r.manager.config.OnWork()
+	if first && r.manager.config.OnActive != nil {
+		r.manager.config.OnActive()
 	}
 	go r.load(job)
 }
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -61,7 +61,7 @@
 // submission by the same tenant, Taken otherwise.
 func duplicateStatus(state jobState, tenant string) Status {
 	if state.known && state.head.Tenant != tenant {
-		return Taken
+		return IDInUse
 	}
 	return OK
 }
@@ -70,11 +70,11 @@
 func (m *Manager) newHead(spec *Spec) (Head, Status) {
 	head := Head{
 		Route: spec.Route,
-		Epoch: 1, Model: spec.Model, Tenant: spec.Tenant, Pool: m.ownerKeyOf(spec), Total: len(spec.Items),
+		Epoch: 1, Model: spec.Model, Tenant: spec.Tenant, OwnerKey: m.ownerKeyOf(spec), Total: len(spec.Items),
 		Nonce: uuid.NewString()[:8], SubmittedMillis: time.Now().UnixMilli(),
 	}
 	for i := range spec.Items {
-		head.Work += spec.Items[i].expectedTokens()
+		head.ExpectedTokens += spec.Items[i].expectedTokens()
 	}
 	head.Width = width(spec.Items)
 	regions := m.regionsOf(head)
@@ -82,7 +82,7 @@
 		return head, NoRegion
 	}
 	head.Regions = regions.Names()
-	owner, found := m.chooseOwner(head.Pool, regions, time.Now())
+	owner, found := m.chooseOwner(head.OwnerKey, regions, time.Now())
 	if !found {
 		return head, NoNode
 	}
@@ -191,9 +191,9 @@
 // Submission is a job with the time limits of the submitting request.
 type Submission struct {
 	Spec *Spec
-	// Left is the time until the caller's deadline, Target the response time that it
-	// aims at, and Allowed the route's limit on how long a request may be held.
-	Left, Target, Allowed time.Duration
+	// Remaining is the time until the caller's deadline, Target the response time that it
+	// aims at, and RouteLimit the route's limit on how long a request may be held.
+	Remaining, Target, RouteLimit time.Duration
 }
 
 const (
@@ -213,10 +213,10 @@
 func (m *Manager) Accept(ctx context.Context, submission Submission) (Status, time.Duration) {
 	started := time.Now()
 	share := submitShare
-	if submission.Left < submission.Allowed {
+	if submission.Remaining < submission.RouteLimit {
 		share = resubmitShare
 	}
-	bounded, cancel := context.WithTimeout(ctx, time.Duration(share*float64(submission.Left)))
+	bounded, cancel := context.WithTimeout(ctx, time.Duration(share*float64(submission.Remaining)))
 	defer cancel()
 	status := m.Submit(bounded, submission.Spec)
 	if status == OK {
--- a/internal/gatewaynode/storenode/storenode.go
+++ b/internal/gatewaynode/storenode/storenode.go
@@ -184,8 +184,8 @@
 	node.jobs = batch.NewManager(batch.Config{
 		Store: config.Store, Limits: config.Limits, Presence: node.presence, Fleet: node.fleet, Client: node.client, Gate: node.gate,
 		Log: config.Log, Reach: node.reach, Routes: node.table.Load, VersionField: config.VersionField,
-		Pacing: pacing, Keep: config.KeepJobs, Settle: config.ResultSettle, WorkOf: node.quarantine.Of, Trials: node.quarantine,
-		OnWork: func() { node.controller.Wanted() }, Orders: func() bool { return node.controller.Near() },
+		Pacing: pacing, Retention: config.KeepJobs, VisibilityDelay: config.ResultSettle, WorkOf: node.quarantine.Of, Trials: node.quarantine,
+		OnActive: func() { node.controller.Wanted() }, OrdersLoads: func() bool { return node.controller.Near() },
 	})
 	node.peerClient = upstream.NewClient(upstream.Config{Codec: config.Codec, Dialer: config.Dialer, DialTimeout: relayDial})
 	node.relay = relay.New(relay.Config{
@@ -198,7 +198,7 @@
 		Commander: config.NewCommander(node.client, func(backend string) error { return node.gate.Admit(backend, reload.Wants) }),
 		Log:       config.Log, Timing: timing, Leases: node.leases, Pacing: pacing, Mode: reload.ModeRetain,
 		Demand: node.jobs.Demand, Widths: node.jobs.Widths, Confined: node.jobs.Confined,
-		JobsKnown: node.jobs.Known, Interested: node.jobs.OwnsJobs,
+		JobsKnown: node.jobs.Loaded, Interested: node.jobs.OwnsJobs,
 	})
 	node.meter(timing)
 	node.operator = rowstore.NewView(config.Log, config.Store, rowstore.ViewConfig{
