--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -142,7 +142,7 @@
 func (m *Manager) OwnsJobs() bool { return !m.runner.idle() }
 
 // usesHeads reports whether this node needs up-to-date heads: it runs jobs, callers
-// wait for results, or Config.Orders returns true.
+// wait for results, or Config.OrdersLoads returns true.
 func (m *Manager) usesHeads() bool {
 	m.mu.Lock()
 	held := m.heldReads
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -252,7 +252,7 @@
 }
 
 const (
-	// retentionMargin is added to Config.Keep before the rows of a job are deleted.
+	// retentionMargin is added to Config.Retention before the rows of a job are deleted.
 	retentionMargin = 10 * time.Second
 	// maxDeletedRows is the maximum number of rows deleted in one transaction.
 	maxDeletedRows = 90
--- a/internal/gatewaynode/batch/results.go
+++ b/internal/gatewaynode/batch/results.go
@@ -71,7 +71,7 @@
 	return Page{Total: state.head.Total, Next: after + len(results), Results: results}, status
 }
 
-// maxViewAgeShare is the maximum age of a view, as a share of Config.Settle, at which
+// maxViewAgeShare is the maximum age of a view, as a share of Config.VisibilityDelay, at which
 // it is trusted that there is no newer result. The rest of that time is left for the
 // response to reach the caller.
 const maxViewAgeShare = 0.5
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -58,7 +58,7 @@
 }
 
 // duplicateStatus returns the status of a submission whose id is in use: OK for a repeated
-// submission by the same tenant, Taken otherwise.
+// submission by the same tenant, IDInUse otherwise.
 func duplicateStatus(state jobState, tenant string) Status {
 	if state.known && state.head.Tenant != tenant {
 		return IDInUse
