--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -16,7 +16,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// Config configures a Book.
+// Config configures a Tracker.
 type Config struct {
 	// Node is the name of this node.
 	Node string
@@ -62,12 +62,12 @@
 	failures int
 	// telling reports whether a Writer.Tell is in progress.
 	telling atomic.Bool
-	// held maps quarantined works to their number of ends. It is copied on write, so that
+	// held maps quarantined works to their number of failures. It is copied on write, so that
 	// Held needs no lock.
 	held atomic.Pointer[map[fingerprint.Fingerprint]int]
 }
 
-// New returns an empty Book.
+// New returns an empty Tracker.
 func New(config Config) *Tracker {
 	b := &Tracker{
 		config: config, backends: make(map[string]*backend), suspects: make(map[fingerprint.Fingerprint]*suspect),
@@ -89,7 +89,7 @@
 	return len(*b.held.Load()), len(b.suspects)
 }
 
-// record adds an end that this node detected, unless a recent success speaks against it.
+// record adds a failure that this node detected, unless a recent success speaks against it.
 // The caller holds b.mu.
 func (b *Tracker) record(end Failure, now time.Time) {
 	if b.answered.lately(end.Work, now) {
@@ -107,7 +107,7 @@
 	b.publish(b.suspects[end.Work])
 }
 
-// publish queues the ends of a work for writing. A single HowGone failure stays local: while
+// publish queues the failures of a work for writing. A single HowGone failure stays local: while
 // the store is unavailable, all registry entries expire together and every unanswered call
 // would become evidence. The caller holds b.mu.
 func (b *Tracker) publish(s *suspect) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// learn adds an end that comes from another node or from the store. If this node recently
+// learn adds a failure that comes from another node or from the store. If this node recently
 // received a success for the work, it deletes the row instead. The caller holds b.mu.
 func (b *Tracker) learn(k known) {
 	if b.answered.lately(k.Work, k.at) {
@@ -133,10 +133,10 @@
 	b.add(k)
 }
 
-// causeAnswered is the logged cause when a recent success overrules an end.
+// causeAnswered is the logged cause when a recent success overrules a failure.
 const causeAnswered = "answered with success recently"
 
-// add adds an end and reports whether it is new, or confirms a silent one. The caller holds
+// add adds a failure and reports whether it is new, or confirms a silent one. The caller holds
 // b.mu.
 func (b *Tracker) add(k known) bool {
 	s := b.suspects[k.Work]
@@ -160,7 +160,7 @@
 	return true
 }
 
-// saySuspected logs an end of a work from the second on. The first ends are covered by the
+// saySuspected logs a failure of a work from the second on. The first failures are covered by the
 // event for the back end, since its failure makes all of its unanswered requests suspects.
 // The caller holds b.mu.
 func (b *Tracker) saySuspected(s *suspect, k known) {
@@ -174,7 +174,7 @@
 	})
 }
 
-// evict forgets the work with the fewest ends, and among equals the one that has not changed
+// evict forgets the work with the fewest failures, and among equals the one that has not changed
 // for longest. The caller holds b.mu.
 func (b *Tracker) evict() {
 	var least *suspect
@@ -189,7 +189,7 @@
 	b.forget(least, true)
 }
 
-// judge quarantines or releases a work by its number of ends. The caller holds b.mu.
+// judge quarantines or releases a work by its number of failures. The caller holds b.mu.
 func (b *Tracker) judge(s *suspect, now time.Time) {
 	count := s.count(now)
 	held := count >= QuarantineThreshold
@@ -211,7 +211,7 @@
 	b.config.Log.Warn(eventlog.Quarantined, fields)
 }
 
-// setHeld sets the number of ends of a quarantined work, or removes the work from the
+// setHeld sets the number of failures of a quarantined work, or removes the work from the
 // quarantine if ends is 0. The caller holds b.mu.
 func (b *Tracker) setHeld(work fingerprint.Fingerprint, ends int) {
 	next := maps.Clone(*b.held.Load())
@@ -285,7 +285,7 @@
 	}
 }
 
-// withdraw removes an end from this node. The caller holds b.mu.
+// withdraw removes a failure from this node. The caller holds b.mu.
 func (b *Tracker) withdraw(s *suspect, id endID, now time.Time) {
 	delete(s.ends, id)
 	s.touch(now)
@@ -296,7 +296,7 @@
 	b.judge(s, now)
 }
 
-// Suspects returns all suspected works, those with the most ends first.
+// Suspects returns all suspected works, those with the most failures first.
 func (b *Tracker) Suspects() []Suspect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -317,7 +317,7 @@
 
 // RegistryChanged compares the followed back ends with the registry and must be called after
 // each change of it. Calls to a back end without an entry count as evidence, and a HowGone
-// end of this node is withdrawn if the entry is back.
+// failure of this node is withdrawn if the entry is back.
 func (b *Tracker) RegistryChanged() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -343,7 +343,7 @@
 	}
 }
 
-// age removes expired runs and ends.
+// age removes expired runs and failures.
 func (b *Tracker) age(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -366,7 +366,7 @@
 	}
 }
 
-// dropPresumed withdraws the silent ends that expired without a confirmation. The caller
+// dropPresumed withdraws the silent failures that expired without a confirmation. The caller
 // holds b.mu.
 func (b *Tracker) dropPresumed(s *suspect, now time.Time) {
 	for id, k := range s.ends {
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/book_test.go
@@ -21,7 +21,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// scene is the book of one node, with back ends whose state a script sets.
+// scene is the Tracker of one node, with back ends whose state a script sets.
 type scene struct {
 	book     *Tracker
 	store    *rowstoretest.Store
@@ -127,7 +127,7 @@
 	return s.show(), nil
 }
 
-// show returns the suspected works with their ends, the lengths of the queue, and the calls
+// show returns the suspected works with their failures, the lengths of the queue, and the calls
 // that were cancelled since the last show.
 func (s *scene) show() string {
 	var out strings.Builder
@@ -158,7 +158,7 @@
 	return out.String()
 }
 
-// TestBook runs the script in virtual time. The command "new" starts with an empty book.
+// TestBook runs the script in virtual time. The command "new" starts with an empty Tracker.
 func TestBook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
@@ -176,7 +176,7 @@
 	})
 }
 
-// TestBoundsOfABook checks that a full book evicts the works with the fewest ends and that
+// TestBoundsOfABook checks that a full Tracker evicts the works with the fewest failures and that
 // the queue stays bounded.
 func TestBoundsOfABook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -224,7 +224,7 @@
 	})
 }
 
-// TestRowsAreWrittenOnceForEachEnd checks that two nodes that detect the same end write the
+// TestRowsAreWrittenOnceForEachEnd checks that two nodes that detect the same failure write the
 // same row.
 func TestRowsAreWrittenOnceForEachEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gatewaynode/quarantine/doc.go
+++ b/internal/gatewaynode/quarantine/doc.go
@@ -1,5 +1,5 @@
 // Package quarantine stops requests that crash the back ends running them from reaching
-// more back ends: once DeadlyEnds back ends have failed while running the same work, no
+// more back ends: once QuarantineThreshold back ends have failed while running the same work, no
 // node forwards that work until enough of the failures are forgotten.
 //
 // A work is what a request asks for; requests for the same work have the same
@@ -33,7 +33,7 @@
 //
 // # Expiry
 //
-// The oldest failure of a work is forgotten KeepEnd after the last change to the work, then
+// The oldest failure of a work is forgotten FailureTTL after the last change to the work, then
 // the next one. A work that is still deadly fails one more back end and is quarantined
 // again. A success, or an operator through Handler, clears all failures of a work.
 //
@@ -41,6 +41,6 @@
 //
 // A node remembers at most suspectsMost works, follows runsMost calls and queues outboxMost
 // rows for writing, of which firstsMost may belong to works with a single failure. Whatever
-// exceeds these is dropped, and Book.Dropped counts calls and rows; works with fewer
+// exceeds these is dropped, and Tracker.Dropped counts calls and rows; works with fewer
 // failures are dropped first.
 package quarantine
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -16,7 +16,7 @@
 	QuarantineThreshold = 3
 	// FailureTTL is how long after the last change to a work its oldest failure is forgotten.
 	FailureTTL = 10 * time.Minute
-	// keepSpread is the random addition to KeepEnd on each node, so that usually one node
+	// keepSpread is the random addition to FailureTTL on each node, so that usually one node
 	// deletes the row and the others see it deleted.
 	keepSpread = FailureTTL / 10
 	// silentKeep is how long an unconfirmed HowSilent failure counts. It exceeds the 3.5 s
@@ -50,21 +50,21 @@
 	Node string
 }
 
-// endID identifies an End among those of its work.
+// endID identifies a Failure among those of its work.
 type endID string
 
 func (e Failure) id() endID { return endID(e.Backend + "/" + strconv.Itoa(e.Life)) }
 
-// known is an End with this node's state of it.
+// known is a Failure with this node's state of it.
 type known struct {
 	Failure
-	// at is when this node learned of the end.
+	// at is when this node learned of the failure.
 	at time.Time
 	// stored reports whether the row is in the store.
 	stored bool
 }
 
-// counts reports whether the end counts as evidence at time now: a silent one expires.
+// counts reports whether the failure counts as evidence at time now: a silent one expires.
 func (k known) counts(now time.Time) bool {
 	return k.How != HowSilent || now.Sub(k.at) < silentKeep
 }
@@ -73,7 +73,7 @@
 type suspect struct {
 	work fingerprint.Fingerprint
 	ends map[endID]known
-	// changed is when an end was last added or removed. At forget the oldest end expires,
+	// changed is when a failure was last added or removed. At forget the oldest failure expires,
 	// unless there is another change before.
 	changed, forget time.Time
 	// held reports whether the work is quarantined; heldSince is when that last
@@ -85,12 +85,12 @@
 	askAgain time.Time
 }
 
-// touch records that an end was added or removed, and restarts the expiry.
+// touch records that a failure was added or removed, and restarts the expiry.
 func (s *suspect) touch(now time.Time) {
 	s.changed, s.forget = now, now.Add(FailureTTL+rand.N(keepSpread))
 }
 
-// count returns the number of ends that count as evidence at time now.
+// count returns the number of failures that count as evidence at time now.
 func (s *suspect) count(now time.Time) int {
 	count := 0
 	for _, k := range s.ends {
@@ -101,8 +101,8 @@
 	return count
 }
 
-// oldest returns the end that expires first. It orders by id rather than by time, since
-// nodes learn of ends in different orders and must all choose the same one.
+// oldest returns the failure that expires first. It orders by id rather than by time, since
+// nodes learn of failures in different orders and must all choose the same one.
 func (s *suspect) oldest() known { return s.ends[slices.Min(slices.Collect(maps.Keys(s.ends)))] }
 
 const (
--- a/internal/gatewaynode/quarantine/outbox.go
+++ b/internal/gatewaynode/quarantine/outbox.go
@@ -4,24 +4,24 @@
 	// outboxMost bounds the queued writes and, separately, the queued deletions. It has room
 	// for a hundred works that fail three back ends each.
 	outboxMost = 512
-	// firstsMost is the length of the queue from which on the only end of a work is dropped.
+	// firstsMost is the length of the queue from which on the only failure of a work is dropped.
 	// A power loss in a zone yields thousands of these, of harmless requests.
 	firstsMost = 32
 )
 
-// rowKey is the key of the row of an end or trial.
+// rowKey is the key of the row of a failure or trial.
 type rowKey string
 
 func keyOf(end Failure) rowKey { return rowKey(end.Work.String() + "/" + string(end.id())) }
 
-// unwritten is an end that is queued for writing.
+// unwritten is a failure that is queued for writing.
 type unwritten struct {
 	end Failure
-	// told reports whether the end was sent to other nodes directly.
+	// told reports whether the failure was sent to other nodes directly.
 	told bool
 }
 
-// outbox is the queue of changes to the store. The mutex of its Book guards it, except for
+// outbox is the queue of changes to the store. The mutex of its Tracker guards it, except for
 // wake.
 type outbox struct {
 	puts    map[rowKey]unwritten
@@ -34,7 +34,7 @@
 	return outbox{puts: make(map[rowKey]unwritten), deletes: make(map[rowKey]bool), wake: make(chan struct{}, 1)}
 }
 
-// put queues an end for writing; again means that its work has other ends too.
+// put queues a failure for writing; again means that its work has other failures too.
 func (o *outbox) put(end Failure, again bool) {
 	key := keyOf(end)
 	delete(o.deletes, key)
@@ -57,7 +57,7 @@
 	o.kick()
 }
 
-// kick wakes Book.Run.
+// kick wakes Tracker.Run.
 func (o *outbox) kick() {
 	select {
 	case o.wake <- struct{}{}:
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -16,7 +16,7 @@
 // body, path or key of a caller.
 const Table = "evidence"
 
-// row is the stored value of an End; the rest of it is in the row's key.
+// row is the stored value of a Failure; the rest of it is in the row's key.
 type row struct {
 	Service string `json:"service"`
 	How     How    `json:"how"`
@@ -63,7 +63,7 @@
 
 func rowValue(end Failure) row { return row{Service: end.Service, How: end.How, Node: end.Node} }
 
-// rowOf encodes an end as a row.
+// rowOf encodes a failure as a row.
 func rowOf(end Failure) rowstore.Row {
 	value, err := json.Marshal(rowValue(end))
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// cleared withdraws an end whose row was deleted. An end that this node has not yet written
+// cleared withdraws a failure whose row was deleted. A failure that this node has not yet written
 // stays. The caller holds b.mu.
 func (b *Tracker) cleared(end Failure, now time.Time) {
 	s := b.suspects[end.Work]
@@ -131,13 +131,13 @@
 	b.withdraw(s, end.id(), now)
 }
 
-// message is the encoding of an End between nodes.
+// message is the encoding of a Failure between nodes.
 type message struct {
 	Key string `json:"key"`
 	row
 }
 
-// Message encodes ends for Told.
+// Message encodes failures for Told.
 func Message(ends []Failure) json.RawMessage {
 	list := make([]message, 0, len(ends))
 	for _, end := range ends {
@@ -150,7 +150,7 @@
 	return encoded
 }
 
-// Told takes a Message from another node that could not write the ends to the store.
+// Told takes a Message from another node that could not write the failures to the store.
 func (b *Tracker) Told(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -36,7 +36,7 @@
 	cut  func()
 	sent time.Time
 	// heard is when the last data of the response arrived, in milliseconds, or 0 if none
-	// did. It is atomic so that each part of a stream is recorded without taking Book.mu.
+	// did. It is atomic so that each part of a stream is recorded without taking Tracker.mu.
 	heard atomic.Int64
 	// ended is when the call ended without a complete response, zero while it is in progress.
 	ended time.Time
@@ -99,7 +99,7 @@
 	return r
 }
 
-// followed reports whether the run is still followed. The caller holds Book.mu.
+// followed reports whether the run is still followed. The caller holds Tracker.mu.
 func (r *run) followed() bool {
 	if r.backend == nil {
 		return false
--- a/internal/gatewaynode/quarantine/trial.go
+++ b/internal/gatewaynode/quarantine/trial.go
@@ -60,7 +60,7 @@
 }
 
 // Retry returns the time after which a client may retry a quarantined work: until its trial
-// or, if the trial was taken, until one of its ends is forgotten.
+// or, if the trial was taken, until one of its failures is forgotten.
 func (b *Tracker) Retry(work fingerprint.Fingerprint) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,7 +77,7 @@
 // Try acquires the trial of a quarantined work and reports whether this node has it. The
 // node may then send the work once, to one back end. There is one trial for all nodes, which
 // belongs to the node that creates its row. If the trial succeeds, the work is cleared;
-// otherwise it stays quarantined until one of its ends is forgotten.
+// otherwise it stays quarantined until one of its failures is forgotten.
 func (b *Tracker) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
 	if !b.ask(work) {
 		return false
--- a/internal/gatewaynode/quarantine/writer.go
+++ b/internal/gatewaynode/quarantine/writer.go
@@ -23,18 +23,18 @@
 	// writeRetry is the delay after a failed transaction, writeLimit the timeout of one.
 	writeRetry = 200 * time.Millisecond
 	writeLimit = 1500 * time.Millisecond
-	// tellAfter is the number of consecutive failed writes after which ends are sent to other
+	// tellAfter is the number of consecutive failed writes after which failures are sent to other
 	// nodes directly. Single failures are normal when many nodes share the store's capacity.
 	tellAfter = 3
 	// ageEvery is the interval at which expired evidence is removed.
 	ageEvery = time.Second
 )
 
-// Writer configures how a Book distributes its evidence.
+// Writer configures how a Tracker distributes its evidence.
 type Writer struct {
 	// Rest returns the time between two transactions of this node while all nodes write.
 	Rest func() time.Duration
-	// Tell, if not nil, sends ends that could not be written to the other nodes.
+	// Tell, if not nil, sends failures that could not be written to the other nodes.
 	Tell func(context.Context, []Failure)
 }
 
@@ -91,7 +91,7 @@
 	b.written(puts, deletes, err == nil)
 }
 
-// take returns the changes of the next transaction, those of works with the most ends first.
+// take returns the changes of the next transaction, those of works with the most failures first.
 func (b *Tracker) take() (puts []Failure, deletes []rowKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,7 +110,7 @@
 	return puts, deletes
 }
 
-// tell sends ends that could not be written to the other nodes in the background, once
+// tell sends failures that could not be written to the other nodes in the background, once
 // tellAfter writes in a row have failed. At most one Writer.Tell is in progress.
 func (b *Tracker) tell(ctx context.Context, w Writer, puts []Failure) {
 	if w.Tell == nil || b.failures < tellAfter || !b.telling.CompareAndSwap(false, true) {
@@ -141,7 +141,7 @@
 	return list
 }
 
-// ends returns the number of ends of a work. The caller holds b.mu.
+// ends returns the number of failures of a work. The caller holds b.mu.
 func (b *Tracker) ends(work fingerprint.Fingerprint) int {
 	if s := b.suspects[work]; s != nil {
 		return len(s.ends)
