--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -368,7 +368,7 @@
 	backends, now := r.manager.config.Fleet, time.Now()
 	switch {
 	case run.job.ctx.Err() != nil, errors.Is(err, errMoved), errors.Is(err, errStopping), errors.Is(err, errExpired),
-		errors.Is(err, errUnprocessable), errors.Is(err, errServerError), errors.Is(err, upstream.ErrCut):
+		errors.Is(err, errUnprocessable), errors.Is(err, errServerError), errors.Is(err, upstream.ErrQuarantined):
 	case errors.Is(err, errOldVersion), errors.Is(err, errVersionChanged):
 		backends.Suspend(run.backend.ID, "weights", now.Add(staleVersionPause))
 	case upstream.FateOf(err) == upstream.NotRun && isUpstream(err):
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -376,7 +376,7 @@
 	default:
 		t.uncertain = true
 		t.noteMaybe(err)
-		if errors.Is(err, upstream.ErrCut) {
+		if errors.Is(err, upstream.ErrQuarantined) {
 			// That says nothing of the back end.
 			break
 		}
--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if s := b.suspects[end.Work]; s != nil {
-		end.Life = s.lifeOf(end.Backend, end.How, now)
+		end.Sequence = s.lifeOf(end.Backend, end.How, now)
 	}
 	if !b.add(known{Failure: end, at: now}) {
 		return
@@ -113,7 +113,7 @@
 func (b *Tracker) publish(s *suspect) {
 	for _, k := range s.ends {
 		alone := len(s.ends) == 1
-		if k.stored || k.How == HowSilent || k.How == HowGone && alone {
+		if k.stored || k.How == FailureUnresponsive || k.How == FailureUnregistered && alone {
 			continue
 		}
 		b.outbox.put(k.Failure, !alone)
@@ -148,7 +148,7 @@
 		b.suspects[k.Work] = s
 	}
 	before, had := s.ends[k.id()]
-	if had && (before.How != HowSilent || k.How == HowSilent) {
+	if had && (before.How != FailureUnresponsive || k.How == FailureUnresponsive) {
 		before.stored = before.stored || k.stored
 		s.ends[k.id()] = before
 		return false
@@ -328,11 +328,11 @@
 			held.leaving, held.service = held.leaving || entry.Leaving, entry.Service
 			continue
 		}
-		b.endedUnder(held, HowGone, now)
+		b.endedUnder(held, FailureUnregistered, now)
 	}
 	for _, s := range b.suspects {
 		for id, k := range s.ends {
-			if k.How == HowGone && k.Node == b.config.Node && b.config.Backend(k.Backend).Present {
+			if k.How == FailureUnregistered && k.Node == b.config.Node && b.config.Backend(k.Backend).Present {
 				b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 					eventlog.Work: s.work.String(), eventlog.Backend: k.Backend, eventlog.Cause: "registry lists the back end again",
 				})
@@ -385,7 +385,7 @@
 }
 
 // sayEnded logs the failure of a back end that had unanswered calls. The caller holds b.mu.
-func (b *Tracker) sayEnded(held *backend, how How, count int, works map[string]bool) {
+func (b *Tracker) sayEnded(held *backend, how FailureKind, count int, works map[string]bool) {
 	if count == 0 {
 		return
 	}
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -24,28 +24,28 @@
 	silentKeep = 5 * time.Second
 )
 
-// How is how the failure of a back end was detected.
-type How string
+// FailureKind is how the failure of a back end was detected.
+type FailureKind string
 
 const (
-	// HowRefused means that the address refused a new connection.
-	HowRefused How = "refused"
-	// HowGone means that the registry no longer lists the back end.
-	HowGone How = "gone"
-	// HowSilent means that a new connection failed otherwise, usually by a timeout. It is
+	// FailureRefused means that the address refused a new connection.
+	FailureRefused FailureKind = "refused"
+	// FailureUnregistered means that the registry no longer lists the back end.
+	FailureUnregistered FailureKind = "gone"
+	// FailureUnresponsive means that a new connection failed otherwise, usually by a timeout. It is
 	// provisional and is never stored.
-	HowSilent How = "silent"
+	FailureUnresponsive FailureKind = "silent"
 )
 
 // Failure is the failure of a back end while it was running a work.
 type Failure struct {
 	Work    fingerprint.Fingerprint
 	Backend string
-	// Life numbers the failures of one back end from 0, since a back end may restart under
+	// Sequence numbers the failures of one back end from 0, since a back end may restart under
 	// the same name.
-	Life    int
+	Sequence    int
 	Service string
-	How     How
+	How     FailureKind
 	// Node is the name of the node that detected the failure.
 	Node string
 }
@@ -53,7 +53,7 @@
 // endID identifies a Failure among those of its work.
 type endID string
 
-func (e Failure) id() endID { return endID(e.Backend + "/" + strconv.Itoa(e.Life)) }
+func (e Failure) id() endID { return endID(e.Backend + "/" + strconv.Itoa(e.Sequence)) }
 
 // known is a Failure with this node's state of it.
 type known struct {
@@ -66,7 +66,7 @@
 
 // counts reports whether the failure counts as evidence at time now: a silent one expires.
 func (k known) counts(now time.Time) bool {
-	return k.How != HowSilent || now.Sub(k.at) < silentKeep
+	return k.How != FailureUnresponsive || now.Sub(k.at) < silentKeep
 }
 
 // suspect is a work with at least one failure.
@@ -115,9 +115,9 @@
 
 // lifeOf returns the number of the failure of a back end that is detected now: that of a
 // known failure if this is another sign of it, otherwise the next one.
-func (s *suspect) lifeOf(backend string, how How, now time.Time) int {
+func (s *suspect) lifeOf(backend string, how FailureKind, now time.Time) int {
 	same := restartsAfter
-	if how != HowRefused {
+	if how != FailureRefused {
 		same = lapsesWithin
 	}
 	life := 0
@@ -125,10 +125,10 @@
 		if k.Backend != backend {
 			continue
 		}
-		if now.Sub(k.at) < same || k.How == HowSilent {
-			return k.Life
+		if now.Sub(k.at) < same || k.How == FailureUnresponsive {
+			return k.Sequence
 		}
-		life = max(life, k.Life+1)
+		life = max(life, k.Sequence+1)
 	}
 	return life
 }
--- a/internal/gatewaynode/quarantine/probe.go
+++ b/internal/gatewaynode/quarantine/probe.go
@@ -80,7 +80,7 @@
 func (b *Tracker) found(held *backend, as standing, began, now time.Time) {
 	switch as {
 	case standingEnded:
-		b.endedUnder(held, HowRefused, now)
+		b.endedUnder(held, FailureRefused, now)
 	case standingSilent:
 		b.presume(held, now)
 	case standingThere:
@@ -109,19 +109,19 @@
 	}
 	for r := range held.runs {
 		if r.lost || !r.ended.IsZero() && r.silent(now) {
-			b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, How: HowSilent, Node: b.config.Node}, now)
+			b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, How: FailureUnresponsive, Node: b.config.Node}, now)
 		}
 	}
 }
 
 // endedUnder records the failure of a back end for the calls that may have been running
 // there, unless it was draining, and follows its calls no longer. The caller holds b.mu.
-func (b *Tracker) endedUnder(held *backend, how How, now time.Time) {
+func (b *Tracker) endedUnder(held *backend, how FailureKind, now time.Time) {
 	works, count := make(map[string]bool), 0
 	// The registry may report the draining only after the last call was sent.
 	held.leaving = held.leaving || b.config.Backend(held.id).Leaving
 	for r := range held.runs {
-		if r.suspected(now) && (how == HowRefused || r.silent(now)) {
+		if r.suspected(now) && (how == FailureRefused || r.silent(now)) {
 			count++
 			if !held.leaving {
 				works[r.work.String()] = true
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -19,7 +19,7 @@
 // row is the stored value of a Failure; the rest of it is in the row's key.
 type row struct {
 	Service string `json:"service"`
-	How     How    `json:"how"`
+	How     FailureKind    `json:"how"`
 	Node    string `json:"node"`
 }
 
@@ -52,7 +52,7 @@
 		return Failure{}, errRow
 	}
 	parsed, err := fingerprint.Parse(work)
-	return Failure{Work: parsed, Backend: rest[:last], Life: life}, err
+	return Failure{Work: parsed, Backend: rest[:last], Sequence: life}, err
 }
 
 // with returns end with the fields of the row value set.
--- a/internal/gatewaynode/storenode/storenode.go
+++ b/internal/gatewaynode/storenode/storenode.go
@@ -172,7 +172,7 @@
 	})
 	node.decideBy()
 	node.client = upstream.NewClient(upstream.Config{
-		Codec: config.Codec, Dialer: config.Dialer, OnOpen: node.observeOpening, MustAdmit: true, Witness: node.quarantine,
+		Codec: config.Codec, Dialer: config.Dialer, OnOpen: node.observeOpening, MustAdmit: true, Observer: node.quarantine,
 	})
 	node.distances = place.NewDistances(config.Eligibility.Zones.Of(config.Self.Zone), config.Eligibility.Zones)
 	node.reach = reach.New(config.Self.Name, node.distances, node.client)
--- a/internal/gatewaynode/upstream/trace.go
+++ b/internal/gatewaynode/upstream/trace.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Witness observes the calls that back ends may run. Implementations must be safe for
+// Observer observes the calls that back ends may run. Implementations must be safe for
 // concurrent use.
-type Witness interface {
+type Observer interface {
 	// Begin is called immediately before a call is sent. cut cancels the call and may be
 	// called at any time, also after its end.
 	Begin(call *Call, cut func()) Trace
@@ -69,10 +69,10 @@
 
 // begin reports a call that is about to be sent to the Witness, if there is one.
 func (c *Client) begin(call *Call, conn *connection) Trace {
-	if c.config.Witness == nil || call.Work.IsZero() {
+	if c.config.Observer == nil || call.Work.IsZero() {
 		return untraced{}
 	}
-	return c.config.Witness.Begin(call, func() {
+	return c.config.Observer.Begin(call, func() {
 		conn.cut.Store(true)
 		c.drop(conn, OpenCut)
 	})
--- a/internal/gatewaynode/upstream/trace_test.go
+++ b/internal/gatewaynode/upstream/trace_test.go
@@ -43,7 +43,7 @@
 func TestWitnessIsToldHowCallsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		seen := &ends{}
-		client := NewClient(Config{Codec: testCodec{}, Witness: seen, Dialer: func(context.Context, string, string) (net.Conn, error) {
+		client := NewClient(Config{Codec: testCodec{}, Observer: seen, Dialer: func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go answerByID(far)
 			return near, nil
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -204,8 +204,8 @@
 	// ErrSilent is the cause with which a caller cancels the context of a call if the back
 	// end sent nothing for too long.
 	ErrSilent = errors.New("nothing came for too long")
-	// ErrCut means that the Witness cancelled the call.
-	ErrCut    = errors.New("cancelled by this node: the request is quarantined")
+	// ErrQuarantined means that the Witness cancelled the call.
+	ErrQuarantined    = errors.New("cancelled by this node: the request is quarantined")
 	errNotRun = errors.New("back end did not run it")
 )
 
@@ -221,8 +221,8 @@
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 	// OnOpen, if not nil, is called for each new connection.
 	OnOpen func(Opening)
-	// Witness, if not nil, observes the calls that back ends may run.
-	Witness Witness
+	// Observer, if not nil, observes the calls that back ends may run.
+	Observer Observer
 	// MustAdmit makes Do panic on a call without Call.Admit.
 	MustAdmit bool
 }
@@ -317,7 +317,7 @@
 		return answer, nil
 	}
 	if conn.cut.Load() {
-		failure.Cause = ErrCut
+		failure.Cause = ErrQuarantined
 	}
 	failure.Sent, failure.After, failure.RoundTrip = sent, time.Since(sent), conn.roundTrip
 	failure.End, failure.Receipt = failure.end(ctx), receiptOf(conn.Conn, failure.Cause)
