--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -107,7 +107,7 @@
 	b.publish(b.suspects[end.Work])
 }
 
-// publish queues the failures of a work for writing. A single HowGone failure stays local: while
+// publish queues the failures of a work for writing. A single FailureUnregistered failure stays local: while
 // the store is unavailable, all registry entries expire together and every unanswered call
 // would become evidence. The caller holds b.mu.
 func (b *Tracker) publish(s *suspect) {
@@ -316,7 +316,7 @@
 }
 
 // RegistryChanged compares the followed back ends with the registry and must be called after
-// each change of it. Calls to a back end without an entry count as evidence, and a HowGone
+// each change of it. Calls to a back end without an entry count as evidence, and a FailureUnregistered
 // failure of this node is withdrawn if the entry is back.
 func (b *Tracker) RegistryChanged() {
 	b.mu.Lock()
--- a/internal/gatewaynode/quarantine/doc.go
+++ b/internal/gatewaynode/quarantine/doc.go
@@ -12,11 +12,11 @@
 // answered
 //
 //   - at once, if its address refuses a new connection after the request's connection
-//     broke (HowRefused). Every request that was unanswered there is suspected.
+//     broke (FailureRefused). Every request that was unanswered there is suspected.
 //   - once the registry no longer lists the back end and nothing more has been received
-//     from it (HowGone), as after a power loss, where connections stay silent. The failure
+//     from it (FailureUnregistered), as after a power loss, where connections stay silent. The failure
 //     is withdrawn if the same entry reappears.
-//   - provisionally, if a new connection to its address times out (HowSilent). Only the
+//   - provisionally, if a new connection to its address times out (FailureUnresponsive). Only the
 //     observing node acts on this, until the registry confirms it or it expires.
 //
 // The failure of a draining back end is ignored. A complete 2xx response clears a work,
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -77,7 +77,7 @@
 	probed  time.Time
 }
 
-// Begin implements upstream.Witness.
+// Begin implements upstream.Observer.
 func (b *Tracker) Begin(call *upstream.Call, cut func()) upstream.Trace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gatewaynode/upstream/connections.go
+++ b/internal/gatewaynode/upstream/connections.go
@@ -104,7 +104,7 @@
 	used bool
 	// expires reports whether expire set a limit on the socket.
 	expires bool
-	// cut reports whether the Witness cancelled the call.
+	// cut reports whether the Observer cancelled the call.
 	cut atomic.Bool
 	// ended is set once the connection is closed. Client.mu guards it.
 	ended bool
--- a/internal/gatewaynode/upstream/trace.go
+++ b/internal/gatewaynode/upstream/trace.go
@@ -67,7 +67,7 @@
 func (untraced) Heard()       {}
 func (untraced) End(End, int) {}
 
-// begin reports a call that is about to be sent to the Witness, if there is one.
+// begin reports a call that is about to be sent to the Observer, if there is one.
 func (c *Client) begin(call *Call, conn *connection) Trace {
 	if c.config.Observer == nil || call.Work.IsZero() {
 		return untraced{}
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -80,7 +80,7 @@
 	// work, so a retry after a silent attempt must not wait on another of them.
 	ProvenSince time.Time
 	// Work is the fingerprint of the request. Calls without one are not reported to the
-	// Witness.
+	// Observer.
 	Work fingerprint.Fingerprint
 	// Unnumbered calls have no id, and their answers need not carry one.
 	Unnumbered bool
@@ -204,7 +204,7 @@
 	// ErrSilent is the cause with which a caller cancels the context of a call if the back
 	// end sent nothing for too long.
 	ErrSilent = errors.New("nothing came for too long")
-	// ErrQuarantined means that the Witness cancelled the call.
+	// ErrQuarantined means that the Observer cancelled the call.
 	ErrQuarantined    = errors.New("cancelled by this node: the request is quarantined")
 	errNotRun = errors.New("back end did not run it")
 )
