--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -107,9 +107,9 @@
 	b.publish(b.suspects[end.Work])
 }
 
-// publish queues the failures of a work for writing. A single FailureUnregistered failure stays local: while
-// the store is unavailable, all registry entries expire together and every unanswered call
-// would become evidence. The caller holds b.mu.
+// publish queues the failures of a work for writing. A single FailureUnregistered stays
+// local: while the store is unavailable, all registry entries expire together and every
+// unanswered call would become evidence. The caller holds b.mu.
 func (b *Tracker) publish(s *suspect) {
 	for _, k := range s.ends {
 		alone := len(s.ends) == 1
@@ -316,8 +316,8 @@
 }
 
 // RegistryChanged compares the followed back ends with the registry and must be called after
-// each change of it. Calls to a back end without an entry count as evidence, and a FailureUnregistered
-// failure of this node is withdrawn if the entry is back.
+// each change of it. Calls to a back end without an entry count as evidence, and a
+// FailureUnregistered of this node is withdrawn if the entry is back.
 func (b *Tracker) RegistryChanged() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -43,9 +43,9 @@
 	Backend string
 	// Sequence numbers the failures of one back end from 0, since a back end may restart under
 	// the same name.
-	Sequence    int
-	Service string
-	How     FailureKind
+	Sequence int
+	Service  string
+	How      FailureKind
 	// Node is the name of the node that detected the failure.
 	Node string
 }
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -18,9 +18,9 @@
 
 // row is the stored value of a Failure; the rest of it is in the row's key.
 type row struct {
-	Service string `json:"service"`
-	How     FailureKind    `json:"how"`
-	Node    string `json:"node"`
+	Service string      `json:"service"`
+	How     FailureKind `json:"how"`
+	Node    string      `json:"node"`
 }
 
 // errRow reports a malformed row key.
--- a/internal/gatewaynode/upstream/trace_test.go
+++ b/internal/gatewaynode/upstream/trace_test.go
@@ -16,7 +16,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fingerprint"
 )
 
-// ends is a Observer that records how calls ended.
+// ends is an Observer that records how calls ended.
 type ends struct {
 	mu   sync.Mutex
 	list []string
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -205,8 +205,8 @@
 	// end sent nothing for too long.
 	ErrSilent = errors.New("nothing came for too long")
 	// ErrQuarantined means that the Observer cancelled the call.
-	ErrQuarantined    = errors.New("cancelled by this node: the request is quarantined")
-	errNotRun = errors.New("back end did not run it")
+	ErrQuarantined = errors.New("cancelled by this node: the request is quarantined")
+	errNotRun      = errors.New("back end did not run it")
 )
 
 // Config configures a Client.
