--- a/internal/gatewaynode/batch/demand.go
+++ b/internal/gatewaynode/batch/demand.go
@@ -6,10 +6,10 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// demandWindow is for how long a job counts as demand.
+// demandWindow is the time since a job was first seen during which it counts as demand.
 const demandWindow = 30 * time.Second
 
-// Demand returns the tokens that jobs submitted lately want of each model.
+// Demand returns the number of tokens that recent jobs request from each model.
 func (m *Manager) Demand() map[string]float64 {
 	now := time.Now()
 	m.mu.Lock()
@@ -23,8 +23,8 @@
 	return demand
 }
 
-// Widths returns how many items have to run at once at most of one of the jobs of each
-// model that were submitted lately.
+// Widths returns, for each model, the largest number of items that a single recent job needs
+// to run concurrently.
 func (m *Manager) Widths() map[string]int {
 	now := time.Now()
 	m.mu.Lock()
@@ -38,8 +38,8 @@
 	return widths
 }
 
-// Confined returns the regions in which the jobs of models submitted lately may run, of
-// those models all of whose jobs are bound to some.
+// Confined returns, for each model, the union of the regions in which its recent jobs may
+// run. It omits models with a job that may run in any region.
 func (m *Manager) Confined() map[string]place.Regions {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/gatewaynode/batch/groups.go
+++ b/internal/gatewaynode/batch/groups.go
@@ -1,12 +1,14 @@
 package batch
 
-// groups counts how many groups of a job are whole: of which no item is left to
-// finish.
+// groups counts the groups of a job that are whole, which means that all of their items are
+// finished.
 type groups struct {
-	left          map[string]int
+	// left is the number of unfinished items by group.
+	left map[string]int
+	// whole is the number of whole groups, wanted the number that the caller waits for.
 	whole, wanted int
-	// carried are the groups that were in an earlier job; the caller waits for all of
-	// them, and carriedLeft are not whole.
+	// carried holds the groups that were in an earlier job already. The caller waits for all
+	// of them. carriedLeft is the number of those that are not whole.
 	carried     map[string]bool
 	carriedLeft int
 }
@@ -19,7 +21,7 @@
 	return g
 }
 
-// carry takes note that a group was in an earlier job.
+// carry records that a group was in an earlier job, unless it is whole.
 func (g *groups) carry(group string) {
 	if !g.carried[group] && g.left[group] > 0 {
 		g.carried[group] = true
@@ -27,7 +29,7 @@
 	}
 }
 
-// finish takes an item of a group that is finished.
+// finish records that an item of a group is finished.
 func (g *groups) finish(group string) {
 	g.left[group]--
 	if g.left[group] > 0 {
@@ -39,13 +41,12 @@
 	}
 }
 
-// reached tells whether as many groups are whole as the caller waits for, and all
-// that were carried; a caller that waits for none is served by each result.
+// reached reports whether the caller has what it waits for: the wanted number of whole groups
+// and all carried ones. It is true from the start if no group is wanted or carried.
 func (g *groups) reached() bool { return g.whole >= g.wanted && g.carriedLeft == 0 }
 
-// nearShare is the share of the groups waited for that may be missing when a job
-// is nearly whole.
+// nearShare is the maximum share of the wanted groups that may be missing for near to be true.
 const nearShare = 0.3
 
-// near tells whether little is missing of what the caller waits for.
+// near reports whether few of the wanted groups are missing.
 func (g *groups) near() bool { return float64(g.wanted-g.whole) <= nearShare*float64(g.wanted) }
--- a/internal/gatewaynode/batch/held.go
+++ b/internal/gatewaynode/batch/held.go
@@ -7,11 +7,11 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/eventlog"
 )
 
-// heldEvery is the least time between two lines that tell why items of a job are held.
+// heldEvery is the minimum interval between log entries about the held items of a job.
 const heldEvery = time.Second
 
-// noteHeld tells why an item is held, if no back end may get it at all; one that waits
-// for a slot is no news. The lock is held.
+// noteHeld logs why no backend is eligible for an item. It logs nothing if one is eligible and
+// merely has no room. The caller holds r.mu.
 func (r *runner) noteHeld(c candidate, pool *pool, want need, p *pools) {
 	if p.now.Sub(c.job.heldSaid) < heldEvery {
 		return
@@ -27,8 +27,8 @@
 	})
 }
 
-// noteQuarantined tells that an item is held since back ends ended under its work, and asks
-// for the trial of it. The lock is held.
+// noteQuarantined logs that an item is held because backends crashed while running the same
+// work, and requests a trial run if one is allowed. The caller holds r.mu.
 func (r *runner) noteQuarantined(job *ownedJob, index int, p *pools) {
 	if r.manager.config.Trials.MayTry(job.items[index].work) {
 		go r.askTrial(job, index)
@@ -44,7 +44,8 @@
 	})
 }
 
-// askTrial makes an item run once more if this node has the trial of its work.
+// askTrial permits one run of a quarantined item if this node is granted the trial of its work.
+// It blocks until that is decided. The caller must not hold r.mu.
 func (r *runner) askTrial(job *ownedJob, index int) {
 	r.mu.Lock()
 	work := job.items[index].work
--- a/internal/gatewaynode/batch/lengths.go
+++ b/internal/gatewaynode/batch/lengths.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// lengths learns what hints of length are worth, and how long items run, from the
-// items that ended.
+// lengths estimates the lengths and durations of items from those of the items that ended.
 type lengths struct {
+	// hints, events, took and count are exponentially decaying sums over the ended items of
+	// their length hints, events and durations in nanoseconds, and of 1.
 	hints, events, took, count float64
-	// longest is the most events that an item of a model had.
+	// longest is the largest number of events of an ended item, by model.
 	longest map[string]int
 }
 
-// lengthMemory is the weight of what was learnt before when an item ends.
+// lengthMemory is the decay factor of the sums per ended item.
 const lengthMemory = 0.99
 
-// observe takes an item of a model that ended, with its hint of length, the events
-// that it had, and the time from its first run on.
+// observe records an ended item with its model, its length hint, its number of events and the
+// time since its first run began.
 func (l *lengths) observe(model string, hint, events int, took time.Duration) {
 	l.hints = lengthMemory*l.hints + float64(hint)
 	l.events = lengthMemory*l.events + float64(events)
@@ -26,8 +27,8 @@
 	l.longest[model] = max(l.longest[model], events)
 }
 
-// expected returns how many events an item with a hint should have, 0 if nothing
-// is known.
+// expected returns the expected number of events of an item with the given length hint, 0 if
+// unknown.
 func (l *lengths) expected(hint int) float64 {
 	if l.hints == 0 {
 		return 0
@@ -35,7 +36,8 @@
 	return float64(hint) * l.events / l.hints
 }
 
-// wait returns how long an item waits with so many before it, for so many slots.
+// wait returns the expected waiting time of an item that is queued behind before others for
+// the given number of slots.
 func (l *lengths) wait(before, slots int) time.Duration {
 	if slots == 0 {
 		return never
@@ -46,12 +48,12 @@
 	return time.Duration(l.took / l.count * float64(before+1) / float64(slots))
 }
 
-// never is longer than anything waits.
+// never is the waiting time if there are no slots. It exceeds any other.
 const never = 24 * time.Hour
 
-// longestLeft returns how long an item of a model that has made some events may go
-// on, were it as long as the longest known, and whether that is known: an item that
-// is longer already may go on for any time.
+// longestLeft returns the remaining duration of an item with made events if it becomes as long
+// as the longest ended item of its model. It returns false if no item of the model has ended
+// or if the item is longer than all of them.
 func (l *lengths) longestLeft(model string, made int) (time.Duration, bool) {
 	longest := l.longest[model]
 	if longest == 0 || l.events == 0 || made > longest {
--- a/internal/gatewaynode/batch/memory.go
+++ b/internal/gatewaynode/batch/memory.go
@@ -5,44 +5,42 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// Placement by memory. The requests that a back end runs share its memory for tokens:
-// a long item holds several times what a usual one does, so that a few of them fill a
-// back end whose slots are free. One that runs out puts requests back, which are
-// silent until there is room, and are read anew. The owner knows the tokens of its own
-// runs exactly, and what they are expected to come to.
-
-// The shares below were set before they were measured, and measured together: rounds 1
-// and 2 of docs/design/shifted.md.
+// Placement by memory. The requests at a backend share its token cache. A few long items can
+// fill the cache while slots are still free. A backend that runs out of memory preempts
+// requests: they produce no events until there is room, and their tokens are then processed
+// again. The node that owns a job knows how many tokens its runs occupy and estimates how many
+// they will occupy at their ends.
 const (
-	// memoryFree is the share of the memory up to which what is expected to be held
-	// costs nothing.
+	// memoryFree is the share of a backend's memory up to which the expected usage adds no
+	// cost.
 	memoryFree = 0.8
-	// memorySlowdown is how much slower a back end is taken to be whose memory is
-	// expected to be asked for once more than it is there.
+	// memorySlowdown is the slowdown per multiple of a backend's memory by which the expected
+	// usage exceeds memoryFree.
 	memorySlowdown = 2.0
-	// memoryMost is the share of the memory up to which a run may begin.
+	// memoryMost is the maximum share of a backend's memory in use after the start of a run.
 	memoryMost = 0.9
-	// tokenStep is what tokens of an item are rounded up to, so that items of about one
-	// size are placed alike.
+	// tokenStep is the multiple to which the tokens of an item are rounded up, so that items
+	// of similar size have the same need.
 	tokenStep = 1024
-	// overrun is how much longer than it is an item is taken to become that is longer
-	// already than was expected: few are, and those by far.
+	// overrun is the ratio of the expected length of an item to its current length once it
+	// approaches its estimate. Items that exceed their estimate usually exceed it by far.
 	overrun = 1.5
 )
 
-// usage is what runs at a back end hold.
+// usage is the resource usage of this node's runs at a backend.
 type usage struct {
+	// prompts is in tokens, events and expectedEvents are in events.
 	prompts, events, expectedEvents int
-	// reserved is the slots that are kept free for items which are being moved there.
+	// reserved is the number of slots reserved for items that are being moved to the backend.
 	reserved int
 }
 
-// tokens returns the tokens held now and those expected at the ends.
+// tokens returns the number of tokens in use now and that expected at the ends of the runs.
 func (u usage) tokens(eventTokens int) (held, expected int) {
 	return u.prompts + u.events*eventTokens, u.prompts + u.expectedEvents*eventTokens
 }
 
-// usages returns what all runs of this node hold, by back end. The lock is held.
+// usages returns the usage of this node's runs by backend ID. The caller holds r.mu.
 func (r *runner) usages() map[string]usage {
 	found := make(map[string]usage)
 	for _, job := range r.jobs {
@@ -69,8 +67,8 @@
 	return found
 }
 
-// expectedEvents returns how many events an item is expected to have at its end. The
-// lock is held.
+// expectedEvents returns the expected number of events of an item at its end. The caller holds
+// r.mu.
 func (r *runner) expectedEvents(job *ownedJob, index int) int {
 	made := len(job.items[index].text.events)
 	expected := int(r.lengths.expected(job.spec.Items[index].LengthHint))
@@ -83,7 +81,8 @@
 	return max(expected, made)
 }
 
-// fillMemory tells the back ends of a service what is held at each.
+// fillMemory sets the memory of the backends of a service from the usage of this node's runs.
+// It does nothing if the size of the memory is not configured.
 func fillMemory(backends []fleet.Backend, service routetable.Service, used map[string]usage) {
 	if service.CacheTokens <= 0 {
 		return
@@ -94,8 +93,9 @@
 	}
 }
 
-// itemMemory returns what an item holds when it begins to run and what it is expected
-// to hold at its end, in steps of tokenStep. The lock is held.
+// itemMemory returns the number of tokens that an item occupies at the start of its next run
+// and the number expected at its end, both rounded up to multiples of tokenStep. The caller
+// holds r.mu.
 func (r *runner) itemMemory(job *ownedJob, index, eventTokens int) (held, expected int) {
 	u := usage{
 		prompts: job.spec.Items[index].PromptTokens, events: len(job.items[index].text.events),
@@ -107,19 +107,20 @@
 
 func roundTokens(tokens int) int { return (tokens + tokenStep - 1) / tokenStep * tokenStep }
 
-// memoryCost returns by how much what an item is expected to hold makes a back end
-// worse: 1 for none. It is pure.
+// memoryCost returns the cost factor of a backend for an item that is expected to occupy the
+// given number of tokens at its end. It is 1 while the memory suffices.
 func memoryCost(b *fleet.Backend, expected int) float64 {
 	return 1 + memorySlowdown*max(0, b.Memory.Crowded(expected)-memoryFree)
 }
 
-// hasMemory tells whether a run that holds so many tokens may begin at a back end. One
-// that no back end has memory for begins where nothing else runs: the back end decides.
+// hasMemory reports whether a backend has memory for a run that starts with held tokens. A
+// backend without other runs accepts any item, so that one larger than the memory of every
+// backend still starts.
 func hasMemory(b *fleet.Backend, held int) bool {
 	return b.Memory.Held == 0 || b.Memory.Full(held) <= memoryMost
 }
 
-// takeMemory counts an item that was given to a back end.
+// takeMemory accounts for the memory of an item that was assigned to b.
 func takeMemory(b *fleet.Backend, want need) {
 	b.Memory.Held += want.held
 	b.Memory.Expected += want.expected
--- a/internal/gatewaynode/batch/move.go
+++ b/internal/gatewaynode/batch/move.go
@@ -8,29 +8,30 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fleet"
 )
 
-// Conditions under which a run is moved to a faster back end.
+// Conditions for moving a run to a faster backend.
 const (
-	// moveRatio is how many times slower than the best its back end must be.
-	moveRatio     = 1.6
+	// moveRatio is the ratio to the typical pace from which a backend counts as slow.
+	moveRatio = 1.6
+	// moveRatioLong replaces moveRatio for items that have run for longer than longRun.
 	moveRatioLong = 1.15
-	// longRun is from when on an item has run for long.
+	// longRun is the time since its first start after which an item counts as long-running.
 	longRun = 1500 * time.Millisecond
-	// moveAfter is the least time since its start or the last move.
+	// moveAfter is the minimum time since the start of the run and since the last move.
 	moveAfter = 600 * time.Millisecond
-	// moveGain is the least time that a move has to save: it reads the item's prompt anew,
-	// and closes one connection and as a rule opens another.
+	// moveGain is the minimum time that a move has to save. A move processes the prompt again,
+	// closes a connection and usually opens another one.
 	moveGain = 400 * time.Millisecond
-	// paceFresh is how old a measured pace may be.
+	// paceFresh is the maximum age of the current backend's pace measurement.
 	paceFresh = time.Second
 )
 
-// movable tells whether an item has run at its back end for long enough.
+// movable reports whether an item has run at its backend for long enough to be moved.
 func movable(item *itemState, now time.Time) bool {
 	return now.Sub(item.started) >= moveAfter && now.Sub(item.moved) >= moveAfter
 }
 
-// moveItem ends the run of an item on a back end that is much slower than one with
-// room; it goes on there after its last event. The lock is held.
+// moveItem cancels a run on a slow backend if a much faster one has room, and reserves a slot
+// there. The item resumes there after its last event. The caller holds r.mu.
 func (r *runner) moveItem(c candidate, p *pools) {
 	item := &c.job.items[c.index]
 	pool := p.of(c.route, c.index)
@@ -59,13 +60,14 @@
 	item.cancel(errMoved)
 }
 
-// moveTarget returns the index of a back end that is so much faster than the
-// one that runs an item that moving it is worth while, or -1. The one that runs it
-// must be slow beside the typical pace of the pool too: against the best alone,
-// items would follow each wrong measurement. It must have been so for a while: where
-// machines are shared, each back end is slow for a moment now and then, and by the time a
-// moved item runs, that is over. One that failed last has to show first
-// that it is there. It is pure.
+// moveTarget returns the index of the fastest backend to which moving an item from current
+// is worthwhile, or -1 if there is none.
+//
+// The current backend must be slow compared with the typical pace of the pool, not only with
+// the fastest backend: otherwise one wrong measurement would attract all items. It must have
+// been slow for some time, since backends on shared machines slow down briefly and recover
+// before a moved item has started elsewhere. A backend whose last request failed is not a
+// target until another request succeeds there.
 func moveTarget(pool []fleet.Backend, current string, want need, typical time.Duration, world *eligibility.World) int {
 	now := world.Now
 	var from *fleet.Backend
@@ -100,10 +102,11 @@
 	return best
 }
 
-// slowFor returns the pace of a back end that is slow enough for a run to be moved away, and
-// how many times faster another one must be; 0 if it is not. Much slower than usual over the
-// last seconds is enough. A run that has gone on for long goes on for long: it is moved from
-// one that is a little slower, but only if that one is so for good. It is pure.
+// slowFor returns the pace of from and the factor by which another backend must be faster if
+// from is slow enough for the run to be moved away, and zeros otherwise. A backend is slow
+// enough if it was much slower than typical over the last seconds. A long-running item is
+// expected to run on for long, so it is also moved from a slightly slower backend, provided
+// that the lifetime pace of the backend is slower too.
 func slowFor(from *fleet.Backend, want need, typical time.Duration) (slow time.Duration, ratio float64) {
 	slow = min(from.Pace, from.SettledPace())
 	if float64(slow) >= moveRatio*float64(typical) {
@@ -118,8 +121,8 @@
 	return 0, 0
 }
 
-// worthMoving tells whether a run that is expected to make so many events yet, 0 if
-// nothing is known, gains enough by a move from one pace to another. It is pure.
+// worthMoving reports whether a run with left expected remaining events saves at least
+// moveGain by a move between the given paces. It assumes so if left is 0, which means unknown.
 func worthMoving(from, to time.Duration, left int) bool {
 	return left == 0 || time.Duration(left)*(from-to) >= moveGain
 }
--- a/internal/gatewaynode/batch/order.go
+++ b/internal/gatewaynode/batch/order.go
@@ -4,8 +4,8 @@
 	"sort"
 )
 
-// startOrder returns the order in which items are started: the longest expected
-// first, so that none of them starts late; equals as they were submitted.
+// startOrder returns the indexes of items by descending length hint, so that the longest
+// start first. Items with equal hints keep their order.
 func startOrder(items []Item) []int {
 	order := make([]int, len(items))
 	for i := range order {
@@ -16,14 +16,14 @@
 }
 
 const (
-	// shortShare is the share of a job's items that count as short.
+	// shortShare is the share of a job's items that may be marked short.
 	shortShare = 2.0 / 3
-	// longShare is the share of a job's items that count as long.
+	// longShare is the share of a job's items that are marked long.
 	longShare = 0.15
 )
 
-// markShort tells the items that are expected to be short, if the hints tell them
-// from the others. The lock is held.
+// markShort marks the items with the largest hints as long, and the others as short if their
+// hints are less than half of the largest. The caller holds the runner's lock.
 func (j *ownedJob) markShort() {
 	if len(j.order) == 0 {
 		return
--- a/internal/gatewaynode/batch/pace.go
+++ b/internal/gatewaynode/batch/pace.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// paceGaps is over how many gaps between events the pace of a run is measured,
-	// paceGapsLeast from how many on. A node that was busy reads several events at
-	// once: single gaps then tell nothing of the back end.
-	paceGaps      = 8
+	// paceGaps is the number of gaps between events over which pace is averaged. Single gaps
+	// are no measure of the backend, since a busy node reads several events at once.
+	paceGaps = 8
+	// paceGapsLeast is the minimum number of gaps.
 	paceGapsLeast = 4
 )
 
-// paceWindow measures the pace of one run over its latest events.
+// paceWindow measures the pace of a run, which is the mean time between events, over its
+// latest events.
 type paceWindow struct {
 	arrivals [paceGaps + 1]time.Time
 	count    int
 }
 
-// add takes the arrival of an event and returns the mean time between two events,
-// once enough have come.
+// add records the arrival of an event and returns the current pace. known is false until
+// enough events have arrived.
 func (w *paceWindow) add(now time.Time) (pace time.Duration, known bool) {
 	w.arrivals[w.count%len(w.arrivals)] = now
 	w.count++
@@ -35,17 +36,16 @@
 }
 
 const (
-	// usualPace stands for a pace that nothing is known of.
+	// usualPace is the assumed pace if no backend has a known one.
 	usualPace = 40 * time.Millisecond
-	// paceMemory is how long a measured pace counts when choosing a back end.
+	// paceMemory is the maximum age of a pace measurement for choosing a backend.
 	paceMemory = 8 * time.Second
-	// typicalQuantile is the share of the back ends whose pace is better than the one
-	// that counts as typical: the best of all is more often a wrong measurement than a
-	// better back end, and no measure for the others.
+	// typicalQuantile is the quantile of the known paces that counts as typical. The minimum
+	// is not used, since it is often a wrong measurement.
 	typicalQuantile = 0.25
 )
 
-// pace returns the pace of a back end, or the typical one if it is not known.
+// pace returns the pace of a backend, or typical if it is not known.
 func pace(backend *fleet.Backend, typical time.Duration, now time.Time) time.Duration {
 	if known := knownPace(backend, now); known > 0 {
 		return known
@@ -53,8 +53,8 @@
 	return typical
 }
 
-// knownPace returns the pace of a back end that was measured of late, or else the one it
-// has had over its life; 0 if neither is known.
+// knownPace returns the recently measured pace of a backend, otherwise its lifetime pace, or 0
+// if neither is known.
 func knownPace(backend *fleet.Backend, now time.Time) time.Duration {
 	switch {
 	case backend.Pace > 0 && now.Sub(backend.PaceAt) <= paceMemory:
@@ -65,8 +65,8 @@
 	return 0
 }
 
-// typicalPace returns the pace of a good back end of the pool, from those whose pace
-// is known: a back end that nothing is known of gets a chance. It is pure.
+// typicalPace returns the typicalQuantile of the known paces in the pool, or usualPace if
+// there are none.
 func typicalPace(pool []fleet.Backend, now time.Time) time.Duration {
 	var paces []time.Duration
 	for i := range pool {
--- a/internal/gatewaynode/batch/patience.go
+++ b/internal/gatewaynode/batch/patience.go
@@ -7,35 +7,35 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fleet"
 )
 
-// A step waits for its longest items alone. Were all of its items begun at once, they
-// would open as many connections as they are, and use most of them for one short item.
-// What is left of a job is therefore begun at once only as far as its longest item leaves
-// no time for it to be run one after the other; the rest waits for connections that other
-// items give back. The longest go first, so the step takes no longer by that.
-
-// demand is what is left to do of a job, in events, or in tokens by the hints as long as
-// nothing is known of lengths.
+// A job takes as long as its longest item. Starting all items at once would open one
+// connection per item, most of them for a single short item. A job therefore opens only as
+// many connections as it needs for all items to finish by the time the longest does; the
+// other items wait for idle connections. Since the longest items start first, this does not
+// delay the job.
+
+// demand is the remaining work of a job. Lengths are in events, or in tokens according to the
+// length hints while no item has ended yet.
 type demand struct {
-	// running counts the items at back ends, left those that run or wait.
+	// running is the number of running items, left that of running and waiting items.
 	running, left int
-	// work is what they have left together, longest, the one with most.
+	// work is the total remaining length, longest that of the item with the most remaining.
 	work, longest int
 }
 
 const (
-	// parallelMargin is how many times more items than would do run at once: lengths are
-	// known within a factor of two.
+	// parallelMargin is the factor by which the concurrency exceeds the computed minimum,
+	// since lengths are known only within a factor of two.
 	parallelMargin = 2
-	// spreadMost is how many times longer than the mean the longest item is taken to be at
-	// most: hints of length scatter more than lengths do.
+	// spreadMost limits the ratio of the longest remaining length to the mean, since hints
+	// vary more widely than actual lengths.
 	spreadMost = 6
-	// longShareLeft is the share of the longest from which on an item counts as one that
-	// the step waits for.
+	// longShareLeft is the share of the longest remaining length from which an item does not
+	// wait for an idle connection.
 	longShareLeft = 0.5
 )
 
-// parallel returns how many items have to run at once so that all are done by the time
-// that the longest is. It is pure.
+// parallel returns the number of items to run concurrently so that all of them finish by the
+// time the longest does.
 func (d demand) parallel() int {
 	longest := min(d.longest, spreadMost*d.work/max(d.left, 1))
 	if longest <= 0 {
@@ -44,18 +44,17 @@
 	return (parallelMargin*d.work + longest - 1) / longest
 }
 
-// patient tells whether an item with so much left waits for a connection that stands. It
-// is pure.
+// patient reports whether an item with the given remaining length is to wait for an idle
+// connection.
 func (d demand) patient(left int) bool {
 	return d.running >= d.parallel() && float64(left) < longShareLeft*float64(d.longest)
 }
 
-// patientMost is how long a score waits for a connection at most.
+// patientMost is the maximum time that a scoring call waits for an idle connection.
 const patientMost = time.Second
 
-// width returns how many of the items have to run at once for the longest to be the one
-// that all wait for, by their hints; all of them where not every one has a hint. It is
-// pure.
+// width returns the number of items to run concurrently so that, by their hints, all finish
+// by the time the longest does. It is the number of all items if one of them has no hint.
 func width(items []Item) int {
 	d := demand{left: len(items)}
 	for i := range items {
@@ -69,7 +68,8 @@
 	return min(d.parallel(), len(items))
 }
 
-// width returns how many of the job's items have to run at once.
+// width returns the number of items of the job to run concurrently. It is the number of all
+// items for a head without a stored width.
 func (h Head) width() int {
 	if h.Width > 0 {
 		return h.Width
@@ -77,24 +77,25 @@
 	return h.Total
 }
 
-// patientScore tells whether a whole text may wait with its score for a connection that
-// stands: items of its job run on for some calls longer. It is pure.
+// patientScore reports whether a scoring call may wait for an idle connection because its job
+// runs for considerably longer than the call takes. longest is the job's longest remaining
+// length, waited the time for which the call has been waiting.
 func patientScore(longest int, pace, latency, waited time.Duration) bool {
 	return time.Duration(longest)*pace > patientCalls*latency && waited < patientMost
 }
 
-// patientCalls is how many usual latencies of a scoring service its step has to go on for
-// where a score waits for a connection: its call may have to be made again.
+// patientCalls is the number of scoring latencies for which a job must still run if one of its
+// scoring calls is to wait for an idle connection. It leaves time to repeat the call.
 const patientCalls = 4
 
-// awaited tells whether a connection may come free that an item could wait for: calls of
-// this node are under way at one of the back ends. It is pure.
+// awaited reports whether an idle connection exists or may become available, because this
+// node has a call in flight at one of the backends.
 func awaited(pool []fleet.Backend) bool {
 	return slices.ContainsFunc(pool, func(b fleet.Backend) bool { return b.InFlight > 0 || b.Reach.Idle > 0 })
 }
 
-// left returns how many events an item is expected to make yet, 0 if nothing is known.
-// The lock is held.
+// left returns the expected number of remaining events of an item, 0 if unknown. The caller
+// holds r.mu.
 func (r *runner) left(job *ownedJob, index int) int {
 	if r.lengths.hints == 0 {
 		return 0
@@ -102,8 +103,8 @@
 	return r.expectedEvents(job, index) - len(job.items[index].text.events)
 }
 
-// lengthLeft returns how long an item goes on, to be compared with others of its job:
-// events, or tokens by its hint as long as nothing is known. The lock is held.
+// lengthLeft returns the expected remaining length of an item, for comparison within its job:
+// in events, or its hint in tokens while no item has ended yet. The caller holds r.mu.
 func (r *runner) lengthLeft(job *ownedJob, index int) int {
 	if r.lengths.hints == 0 {
 		return job.spec.Items[index].LengthHint
@@ -111,7 +112,7 @@
 	return r.left(job, index)
 }
 
-// demandOf returns what is left to do of a job. The lock is held.
+// demandOf returns the remaining work of a job. The caller holds r.mu.
 func (r *runner) demandOf(job *ownedJob) *demand {
 	d := &demand{}
 	for i := range job.items {
--- a/internal/gatewaynode/batch/place.go
+++ b/internal/gatewaynode/batch/place.go
@@ -7,54 +7,59 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fleet"
 )
 
-// need is what an item wants of a back end.
+// need holds the requirements of an item on a backend.
 type need struct {
-	// Request decides which back ends may get the item.
+	// Request determines which backends are eligible.
 	eligibility.Request
-	// avoid is a back end to be used only if there is no other.
+	// avoid is the ID of a backend to use only as a last resort.
 	avoid string
-	// ran is for how long the item has been running.
+	// ran is the time since the first run of the item began.
 	ran time.Duration
-	// short items are among those that their step does not wait for: they leave the
-	// fastest back ends to others.
+	// short is set for items that are expected to finish well before the rest of their job.
+	// They leave the fastest backends to longer items.
 	short bool
-	// patient items start only where a connection stands.
+	// patient restricts the item to backends with an idle connection.
 	patient bool
-	// left is how many events the item is expected to make yet, 0 if nothing is known.
+	// left is the expected number of remaining events, 0 if unknown.
 	left int
-	// held and expected are the tokens that the item holds when it begins and is
-	// expected to hold at its end, 0 where nothing is known of memories.
+	// held and expected are the tokens that the item occupies at its start and is expected
+	// to occupy at its end.
 	held, expected int
 }
 
+// Relative costs of running an item at a backend. A slowdown of 0.2 makes a backend count as
+// 20% slower than its pace.
 const (
-	// loadSlowdown is how much slower a full back end is taken to be.
+	// loadSlowdown applies to a full backend, and in proportion to one that is partly loaded.
 	loadSlowdown = 0.15
-	// usualEvents is the number of events that the round trips of a run are spread over,
-	// where they are weighed beside its pace: what most items make.
+	// usualEvents is the number of events of a typical item, over which the round-trip time
+	// to the backend is spread.
 	usualEvents = 20
-	// openingSlowdown is what a new connection costs: more than the load of a full back
-	// end, so that items gather where connections stand, less than a back end that is
-	// slow for good. Short items rather give up the pace that they would leave to others.
-	openingSlowdown      = 0.2
+	// openingSlowdown applies if a new connection is needed. It is more than loadSlowdown,
+	// so that items share backends with open connections, and less than the slowdown of a
+	// backend that is lastingly slow.
+	openingSlowdown = 0.2
+	// openingSlowdownShort applies to short items instead: they take a slower backend rather
+	// than open a connection.
 	openingSlowdownShort = 1.0
-	// foreignSlowdown is what a back end costs that is meant for another model: more
-	// than a full one of the own model, since its own owner does not see what others
-	// start there.
+	// foreignSlowdown applies to a backend that is assigned to another model. It is more than
+	// loadSlowdown, since the node that schedules the other model does not see the items
+	// started there.
 	foreignSlowdown = 0.2
-	// avoidSlowdown is what a back end that an item was moved away from costs.
+	// avoidSlowdown applies to the backend that the item was moved away from.
 	avoidSlowdown = 1.0
-	// failedSlowdown is what a back end costs that failed last: short items try it out.
+	// failedSlowdown applies to a backend whose last request failed. Short items are exempt
+	// and probe it.
 	failedSlowdown = 0.5
-	// coldSlowdown is what a cold back end costs: the few requests that it bears are used
-	// where no warm one has room.
+	// coldSlowdown applies to a backend that is warming up, so that it is used only if no
+	// warm one has room.
 	coldSlowdown = 4.0
-	// leisurelyBonus makes short items prefer back ends that are a little slower.
+	// leisurelyBonus is the cost factor of moderately slow backends for short items.
 	leisurelyBonus = 0.5
 )
 
-// pickBackend returns the index of the back end that is expected to run the
-// item fastest and has room, or -1; typical is the pool's typicalPace. It is pure.
+// pickBackend returns the index of the backend with the lowest cost among those that can
+// start the item now, or -1 if there is none. typical is the result of typicalPace.
 func pickBackend(pool []fleet.Backend, want need, typical time.Duration, world *eligibility.World) int {
 	best := -1
 	var bestCost float64
@@ -70,16 +75,18 @@
 	return best
 }
 
-// suits tells whether an item may start at a back end now.
+// suits reports whether b can start an item now.
 func suits(b *fleet.Backend, want need, world *eligibility.World) bool {
 	return b.Load() < 1 && hasMemory(b, want.held) && fits(b, want, world)
 }
 
-// fits tells whether an item may run at a back end once it has room.
+// fits reports whether b can run an item once it has room.
 func fits(b *fleet.Backend, want need, world *eligibility.World) bool {
 	return !b.Suspended(world.Now) && world.May(b, want.Request)
 }
 
+// runCost returns the expected time per event at a backend, weighted by the slowdowns that
+// apply.
 func runCost(backend *fleet.Backend, want need, typical time.Duration, now time.Time) float64 {
 	cost := float64(pace(backend, typical, now)) * (1 + loadSlowdown*backend.Load()) * memoryCost(backend, want.expected)
 	cost += float64(backend.Reach.Distance.Duration()) / usualEvents
@@ -104,7 +111,7 @@
 	return cost
 }
 
-// opening returns what a new connection costs, as a share of the pace.
+// opening returns the slowdown for opening a new connection.
 func (n need) opening() float64 {
 	if n.short {
 		return openingSlowdownShort
@@ -112,10 +119,9 @@
 	return openingSlowdown
 }
 
-// leisurely tells whether a pace is slower than the best, by the back end itself or
-// by what runs there, yet not so slow that items are better not begun there. Short
-// items gather at such back ends and leave those with little to do to long ones,
-// whose pace decides how long a step lasts.
+// leisurely reports whether a pace is moderately slow: slower than typical, but not slow
+// enough for items to be moved away. Short items prefer such backends and leave the faster
+// ones to long items, which determine how long a job takes.
 func leisurely(pace, typical time.Duration) bool {
 	ratio := float64(pace) / float64(typical)
 	return ratio > moveRatioLong && ratio <= moveRatio
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -13,16 +13,18 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
-// HoldsBodies tells whether rows of a table hold what callers sent, or what was made of
-// it, and not only how far it is.
+// HoldsBodies reports whether rows of a table contain request or response bodies, rather than
+// job state alone.
 func HoldsBodies(table string) bool {
 	return table == TableSpecs || table == TableResults || table == TablePartials
 }
 
-// kind is what decides in which regions a job may live, beside the configuration.
+// kind holds the properties of a job that, together with the configuration, determine the
+// regions in which its data may be kept and its items may run.
 type kind struct {
 	route, tenant string
-	// accepted are the regions as of the acceptance: they bind once the route is gone.
+	// accepted holds the regions that were allowed when the job was accepted. They apply if
+	// the configuration no longer contains the route.
 	accepted place.Regions
 }
 
@@ -30,9 +32,9 @@
 	return kind{route: h.Route, tenant: h.Tenant, accepted: place.NewRegions(h.Regions...)}
 }
 
-// regionsOf returns the regions in which a job may live, by the configuration in force.
-// Where that no longer has the job's route, or there is none yet, the job stays where it
-// could live when it was accepted.
+// regionsOf returns the regions in which a job is allowed by the current configuration. If
+// there is no configuration yet, or it no longer contains the job's route, the job is
+// restricted to the regions that were allowed when it was accepted.
 func (m *Manager) regionsOf(head Head) place.Regions {
 	accepted := place.NewRegions(head.Regions...)
 	table := m.config.Routes()
@@ -46,15 +48,15 @@
 	return table.RegionsOf(route, head.Tenant)
 }
 
-// allowedHere tells whether this node may hold what belongs to jobs of a head.
+// allowedHere reports whether this node may keep data of a job with the given head.
 func (m *Manager) allowedHere(head Head) bool { return m.regionsOf(head).Has(m.self.Region) }
 
-// within returns a context for calls to the store about a job.
+// within returns a context that restricts calls to the store to the regions of a job.
 func (m *Manager) within(ctx context.Context, head Head) context.Context {
 	return rowstore.Within(ctx, m.regionsOf(head))
 }
 
-// JobRegions returns the regions in which a job may live, and whether the job is known.
+// JobRegions returns the regions in which a job is allowed, and whether the job is known.
 func (m *Manager) JobRegions(job string) (place.Regions, bool) {
 	state, found := m.snapshot(job)
 	if !found || !state.known {
@@ -63,11 +65,12 @@
 	return m.regionsOf(state.head), true
 }
 
-// confinements keeps what routetable.Table.Confinements returned last.
+// confinements caches the result of routetable.Table.Confinements for the latest table.
 type confinements struct {
 	last atomic.Pointer[confinementsOf]
 }
 
+// confinementsOf is the cached result for one table.
 type confinementsOf struct {
 	table *routetable.Table
 	sets  []place.Regions
@@ -85,13 +88,13 @@
 	return sets
 }
 
-// Keeps tells whether this node is among those that take jobs over.
+// Keeps reports whether this node is one of those that take over jobs of nodes that are gone.
 func (m *Manager) Keeps(now time.Time) bool {
 	return m.config.Presence.SelfKeepsWithin(m.confinements.of(m.config.Routes()), now)
 }
 
-// JobsWaiting returns the number of jobs that no node may run now: none stands in a
-// region in which they may live.
+// JobsWaiting returns the number of unfinished jobs that no node can run at present, because
+// there is none in a region in which they are allowed.
 func (m *Manager) JobsWaiting() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,8 +107,8 @@
 	return count
 }
 
-// noteWaiting records whether a job waits for a node in its regions; tell says whether
-// it is this node that says so. The lock is held.
+// noteWaiting records whether a job waits for a node in one of its regions. If tell is set,
+// it logs a change; only one node does so for each job. The caller holds m.mu.
 func (m *Manager) noteWaiting(state *jobState, regions place.Regions, waiting, tell bool) {
 	if state.waiting == waiting {
 		return
@@ -124,17 +127,17 @@
 	})
 }
 
-// leaveMost bounds the handing over of a job that may no longer live here; what was not
-// stored by then is made again.
+// leaveMost is the timeout for handing over a job that is no longer allowed in this region.
+// Text that is not stored by then is generated again.
 const leaveMost = 2 * time.Second
 
-// leaveRest is the least time between two hand-overs of a job by this node: two nodes that
-// know different configurations would else hand it to and fro as fast as the store answers,
-// until both know the same.
+// leaveRest is the minimum time between two hand-overs of a job by this node. Without it, two
+// nodes with different versions of the configuration would pass the job back and forth as fast
+// as the store responds.
 const leaveRest = time.Second
 
-// leave ends the runs of a job that may no longer live in this node's region, hands the
-// job to a node where it may, if there is one, and forgets what it holds of it.
+// leave stops the runs of a job that is no longer allowed in this node's region, hands the job
+// over to a node in an allowed region, if there is one, and drops its data from memory.
 func (m *Manager) leave(ctx context.Context, id string) {
 	bounded, cancel := context.WithTimeout(ctx, leaveMost)
 	defer cancel()
@@ -149,8 +152,9 @@
 	m.noteWaiting(now, regions, waits, true)
 }
 
-// forget drops what this node holds in memory of jobs that may not live here, once the
-// configuration has changed; what may not live here is not put there.
+// forget drops the specifications and texts of jobs that are not allowed in this region from
+// memory. It runs after each change of the configuration; data that is not allowed under the
+// current one is never kept.
 func (m *Manager) forget() {
 	m.specs.retain(func(job string) bool {
 		state, found := m.snapshot(job)
@@ -167,14 +171,14 @@
 	})
 }
 
-// retainTexts drops the kept texts of the kinds of jobs that keep does not want.
+// retainTexts drops the kept texts of the kinds of jobs for which keep returns false.
 func (r *runner) retainTexts(keep func(kind) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept.retain(keep)
 }
 
-// retain drops the texts of the kinds of jobs that keep does not want.
+// retain drops the texts of the kinds of jobs for which keep returns false.
 func (k *keptTexts) retain(keep func(kind) bool) {
 	k.order = slices.DeleteFunc(k.order, func(item string) bool {
 		if keep(k.texts[item].of) {
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -12,22 +12,23 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// candidate is an item that could be started, or be moved to a faster back end.
+// candidate is a waiting item that can be started or a running item that can be moved to
+// a faster backend.
 type candidate struct {
 	job   *ownedJob
 	index int
 	route *routetable.Route
-	// priority goes before rank, 0 the highest: that of the job's tenant or, if it has
-	// none, of the route.
+	// priority is that of the job's tenant or, if it has none, of the route. 0 is the
+	// highest. It takes precedence over rank.
 	priority int
-	// rank orders candidates, the highest first.
-	rank   float64
+	// rank orders candidates of equal priority, highest first.
+	rank float64
+	// moving is set if the item is running and is to be moved.
 	moving bool
 }
 
-// schedule starts what can be started of all jobs and moves what runs on slow back
-// ends, the longest expected first: a step waits for its longest items, and jobs
-// share the back ends.
+// schedule starts waiting items of all jobs and moves items away from slow backends. Items
+// that are expected to be the longest come first, since they determine how long a job takes.
 func (r *runner) schedule() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,9 +56,10 @@
 	}
 }
 
-// urgentRank is above that of all expected lengths.
+// urgentRank is added to the rank of urgent items. It exceeds any length hint.
 const urgentRank = 1e12
 
+// appendCandidates appends the candidates of a job to list. The caller holds r.mu.
 func (r *runner) appendCandidates(list []candidate, job *ownedJob, route *routetable.Route, p *pools) []candidate {
 	priority := rankOf(p.config, job.tenant, route)
 	for _, index := range job.order {
@@ -74,7 +76,8 @@
 			}
 			list = append(list, c)
 		case phaseRunning:
-			// A quarantined item runs for its trial alone, which is not given twice.
+			// A quarantined item that runs is a trial run, which is granted only once.
+			// Moving it would start it a second time.
 			if !p.of(route, index).uneven || !movable(item, p.now) || p.world.HeldEnds(item.work) > 0 {
 				continue
 			}
@@ -88,7 +91,7 @@
 	return list
 }
 
-// rankOf returns the rank of what is done on behalf of a tenant on a route, 0 the highest.
+// rankOf returns the priority of a tenant's requests on a route. 0 is the highest.
 func rankOf(config *routetable.Table, tenant string, route *routetable.Route) int {
 	if config == nil {
 		return route.Priority
@@ -96,50 +99,51 @@
 	return config.Tenants.Named(tenant).Rank(route.Priority)
 }
 
-// rank is rankOf by the configuration in force.
+// rank returns the priority of a tenant's requests on a route in the current
+// configuration.
 func (r *runner) rank(tenant string, route *routetable.Route) int {
 	return rankOf(r.manager.config.Routes(), tenant, route)
 }
 
-// sortCandidates orders candidates by priority, then by rank, equals by the age of their
-// jobs.
+// sortCandidates sorts candidates by priority, then by rank, then by the submission time of
+// their jobs.
 func sortCandidates(list []candidate) {
 	slices.SortStableFunc(list, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(b.rank, a.rank), cmp.Compare(a.job.head.SubmittedMillis, b.job.head.SubmittedMillis))
 	})
 }
 
-// pools are the back ends of each service as one round of decisions sees them:
-// what the round gives out is counted in them.
+// pools holds the backends of each service during one scheduling round. It accounts for the
+// requests that the round assigns.
 type pools struct {
 	fleet    *fleet.Fleet
 	reach    Reach
 	now      time.Time
 	services map[string]*pool
-	// config tells of the services' memories, nil if none is known; used is what the
-	// runs of this node hold, by back end.
+	// config is the current configuration, nil if there is none.
 	config *routetable.Table
-	used   map[string]usage
-	// world is what the round decides by; given counts what it and those before it gave to
-	// each back end and what has not taken its turn there yet.
+	// used is the token usage of this node's runs by backend ID.
+	used  map[string]usage
 	world *eligibility.World
+	// given counts, by backend ID, the requests that were assigned in this or an earlier
+	// round and have not been sent yet. The limit of a cold backend does not count them.
 	given map[string]int
-	// demands is what is left to do of each job.
+	// demands holds the remaining work of each job.
 	demands map[*ownedJob]*demand
 }
 
-// pool is the back ends of one service.
+// pool holds the backends of one service.
 type pool struct {
 	backends []fleet.Backend
-	// eventTokens is how many tokens an event of a stream holds.
+	// eventTokens is the number of tokens per stream event.
 	eventTokens int
-	// typical is the least pace that is known; uneven tells that some work at a
-	// pace at which moving is worth while.
+	// typical is the result of typicalPace.
 	typical time.Duration
-	uneven  bool
-	// full holds the needs that no back end has room for; passed counts the items
-	// that were left waiting in this round.
-	full   map[need]bool
+	// uneven is set if a backend in use is slow enough for runs to be moved away.
+	uneven bool
+	// full holds the needs for which no backend was found in this round.
+	full map[need]bool
+	// passed counts the items that this round left waiting for a faster backend.
 	passed int
 }
 
@@ -153,7 +157,7 @@
 	return p
 }
 
-// turnsLeft returns turns less what was given out.
+// turnsLeft wraps turns to subtract the requests that were assigned but not sent yet.
 func (p *pools) turnsLeft(turns func(*fleet.Backend) int) func(*fleet.Backend) int {
 	return func(b *fleet.Backend) int {
 		left := turns(b)
@@ -164,18 +168,18 @@
 	}
 }
 
-// give counts a request that the round gives to a back end.
+// give records that the round assigned a request to b.
 func (p *pools) give(b *fleet.Backend) {
 	b.InFlight++
 	p.given[b.ID]++
 }
 
-// of returns the back ends that an item of a route may run at.
+// of returns the backends of the service that serves the item at index of a job on route.
 func (p *pools) of(route *routetable.Route, index int) *pool {
 	return p.service(route.Pick(uint64(index), 0))
 }
 
-// service returns the back ends of a service.
+// service returns the backends of a service, loading them on first use in the round.
 func (p *pools) service(service string) *pool {
 	found, known := p.services[service]
 	if known {
@@ -202,14 +206,15 @@
 	return found
 }
 
-// needOf returns what an item wants of a back end.
+// needOf returns the requirements of a candidate. The caller holds r.mu.
 func (r *runner) needOf(c candidate, pool *pool) need {
 	want := need{Request: r.requestOf(c.job, c.index, c.route)}
 	want.held, want.expected = r.itemMemory(c.job, c.index, pool.eventTokens)
 	return want
 }
 
-// requestOf returns what decides which back ends may get an item. The lock is held.
+// requestOf returns the request by which eligibility is decided for an item. The caller
+// holds r.mu.
 func (r *runner) requestOf(job *ownedJob, index int, route *routetable.Route) eligibility.Request {
 	return eligibility.Request{
 		Regions: r.regions(route, job.tenant), Patient: true,
@@ -218,7 +223,7 @@
 	}
 }
 
-// regions returns where a tenant's requests on a route may be served.
+// regions returns the regions in which a tenant's requests on a route may be served.
 func (r *runner) regions(route *routetable.Route, tenant string) place.Regions {
 	table := r.manager.config.Routes()
 	if table == nil {
@@ -227,7 +232,8 @@
 	return table.RegionsOf(route, tenant)
 }
 
-// scheduleItem starts an item if a back end has room that is worth taking.
+// scheduleItem starts a waiting item if a backend has room and starting there is faster than
+// waiting for a better one. The caller holds r.mu.
 func (r *runner) scheduleItem(c candidate, p *pools) {
 	pool := p.of(c.route, c.index)
 	item := &c.job.items[c.index]
@@ -266,11 +272,12 @@
 	r.launch(c.job, c.index, c.route, *b)
 }
 
-// takeIdle counts an idle connection of a back end that a call will use, if there is one.
+// takeIdle accounts for the idle connection that a call to b will use, if there is one.
 func takeIdle(b *fleet.Backend) { b.Reach.Idle = max(b.Reach.Idle-1, 0) }
 
-// goToTarget starts an item that was moved at the back end that it was moved to, and
-// tells whether it did. If that will not do any more, the item goes where others go.
+// goToTarget starts a moved item at its target backend and reports whether it did. If the
+// target can no longer run the item, the caller places it like any other. The caller holds
+// r.mu.
 func (r *runner) goToTarget(c candidate, pool *pool, want need, p *pools) bool {
 	item := &c.job.items[c.index]
 	place := slices.IndexFunc(pool.backends, func(b fleet.Backend) bool { return b.ID == item.target })
@@ -290,14 +297,14 @@
 	return true
 }
 
-// worthStarting tells whether an item of expected events should start at a slow
-// back end now rather than wait for a fast one. It is pure.
+// worthStarting reports whether an item with the given number of expected events finishes no
+// later if it starts now at pace slow than if it waits and then runs at pace fast.
 func worthStarting(events float64, slow, fast, wait time.Duration) bool {
 	return events*float64(slow-fast) <= float64(wait)
 }
 
-// fastSlots returns the slots of the back ends that an item may run at, now or
-// once one is free, which are not slow. It is pure.
+// fastSlots returns the total number of slots, free or not, of the backends that may run an
+// item and are not slow.
 func fastSlots(backends []fleet.Backend, want need, typical time.Duration, world *eligibility.World) int {
 	slots := 0
 	for i := range backends {
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -14,28 +14,31 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// scoreState is how far the scoring of an item's whole text is.
+// scoreState is the state of scoring an item whose text is complete.
 type scoreState struct {
-	// since is when the text was whole; after, from when the next call may be sent.
-	since, after clock.Millis
-	calls        []*scoreCall
-	// work is what a call asks for, whatever its id.
+	// since is the time at which the text was complete.
+	since clock.Millis
+	// after is the earliest time of the next call.
+	after clock.Millis
+	// calls holds the calls in flight, oldest first.
+	calls []*scoreCall
+	// work is the fingerprint of the scoring request, which is independent of its ID.
 	work fingerprint.Fingerprint
-	// sends counts calls, cuts those that their limit ended, failures answers that
-	// the scoring service failed.
+	// sends counts the calls that were sent, cuts those that ended without a complete
+	// response, and failures the error responses of the scoring service.
 	sends, cuts, failures int
 }
 
-// cancelCalls ends the calls that are under way, a moment later: most that are cut at
-// once would have been answered by then, and would have left their connections.
+// cancelCalls cancels the calls in flight after upstream.Linger. Most of them complete by then,
+// so that their connections can be reused.
 func (s *scoreState) cancelCalls() {
 	for _, c := range s.calls {
 		time.AfterFunc(upstream.Linger, c.cancel)
 	}
 }
 
-// textWhole goes on with an item whose text is whole: it is finished, or waits
-// for its score. The lock is held.
+// textWhole finishes an item whose text is complete, or lets it wait for its score if it has a
+// scorer that has not scored the text yet. The caller holds r.mu.
 func (r *runner) textWhole(job *ownedJob, index int) {
 	item := &job.items[index]
 	if item.text.scoredBy(job.spec.Items[index].Scorer) {
@@ -47,7 +50,8 @@
 	job.scoring = append(job.scoring, index)
 }
 
-// scheduleScores sends the calls that may be sent now. The lock is held.
+// scheduleScores sends the scoring calls that are due, those of older jobs first. The caller
+// holds r.mu.
 func (r *runner) scheduleScores(p *pools) {
 	table := r.manager.config.Routes()
 	if table == nil {
@@ -65,8 +69,7 @@
 	}
 }
 
-// jobsByAge returns the jobs, the one submitted first before the others. The lock
-// is held.
+// jobsByAge returns the jobs in the order of their submission. The caller holds r.mu.
 func (r *runner) jobsByAge() []*ownedJob {
 	jobs := make([]*ownedJob, 0, len(r.jobs))
 	for _, job := range r.jobs {
@@ -78,13 +81,11 @@
 	return jobs
 }
 
-// scoringMost is the number of whole texts on a node that may wait for their
-// score; while so many do, no further item is started. It bounds the memory that
-// a scoring service which is away costs.
+// scoringMost is the number of items waiting for their score from which no further item is
+// started. It bounds the memory in use while a scoring service is unavailable.
 const scoringMost = 2000
 
-// waitingForScore returns the number of whole texts that wait for their score. The
-// lock is held.
+// waitingForScore returns the number of items that wait for their score. The caller holds r.mu.
 func (r *runner) waitingForScore() int {
 	count := 0
 	for _, job := range r.jobs {
@@ -93,8 +94,8 @@
 	return count
 }
 
-// scheduleScore sends the next call of one item, if it may be sent. A scorer
-// without a route, or whose service has no back end with room, waits.
+// scheduleScore sends the first or a hedging call for one item if it is due and a backend has
+// room. An item whose scorer matches no route waits. The caller holds r.mu.
 func (r *runner) scheduleScore(job *ownedJob, index int, table *routetable.Table, p *pools, now clock.Millis) {
 	state := &job.items[index].score
 	if now < state.after || len(state.calls) >= scoreCallsMost {
@@ -132,8 +133,8 @@
 	r.call(job, index, route, pool[place], now, request)
 }
 
-// scoreRequest returns what decides which back ends may get a call to the scoring service
-// of a route: of a public one, no tenant is told.
+// scoreRequest returns the request by which eligibility is decided for a scoring call. The
+// tenant's regions do not apply to a public route, whose calls carry no tenant.
 func (r *runner) scoreRequest(job *ownedJob, route *routetable.Route) eligibility.Request {
 	regions := route.Regions
 	if !route.Public {
@@ -142,7 +143,8 @@
 	return eligibility.Request{Regions: regions, Patient: true}
 }
 
-// settleScore takes what became of a call. The lock is held while it decides.
+// settleScore handles the outcome of a scoring call: it finishes the item or leaves it waiting
+// for the next call.
 func (r *runner) settleScore(c *scoreCall, fate scoreFate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,6 +184,7 @@
 	r.logScore(c, eventlog.ScoreFailed, fate)
 }
 
+// remove removes a call that has ended from the calls in flight.
 func (s *scoreState) remove(c *scoreCall) {
 	for i, other := range s.calls {
 		if other == c {
@@ -191,8 +194,7 @@
 	}
 }
 
-// WaitingForScore returns the number of whole texts on this node that wait for
-// their score.
+// WaitingForScore returns the number of items on this node that wait for their score.
 func (m *Manager) WaitingForScore() int {
 	m.runner.mu.Lock()
 	defer m.runner.mu.Unlock()
--- a/internal/gatewaynode/batch/scorecall.go
+++ b/internal/gatewaynode/batch/scorecall.go
@@ -16,26 +16,26 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// scoreFate is what became of a call to a scoring service. It is one of scored,
-// scoreFailed, scoreNotRun, scoreCut and scoreUnusable.
+// scoreFate is the outcome of a call to a scoring service. It is one of scored, scoreFailed,
+// scoreNotRun, scoreCut and scoreUnusable.
 type scoreFate interface {
-	// cause says why the call brought no score, for logs.
+	// cause returns the reason that the call returned no score, for logging.
 	cause() string
 }
 
-// scored is a whole answer that holds a score.
+// scored is a complete response with a score.
 type scored struct{ score string }
 
-// scoreFailed is an answer by which the service failed the call.
+// scoreFailed is an internal server error of the scoring service.
 type scoreFailed struct{}
 
-// scoreNotRun is a call that the back end did not take.
+// scoreNotRun is a call that the backend did not run.
 type scoreNotRun struct{ err error }
 
-// scoreCut is a call without a whole answer: it may have run.
+// scoreCut is a call that ended without a complete response. The backend may have run it.
 type scoreCut struct{ err error }
 
-// scoreUnusable is a whole answer that is neither a score nor a failure.
+// scoreUnusable is a complete response that is neither a score nor an internal server error.
 type scoreUnusable struct{ status int }
 
 func (scored) cause() string          { return "" }
@@ -51,21 +51,23 @@
 	index   int
 	route   *routetable.Route
 	backend fleet.Backend
-	// request decides which back ends may get the call.
+	// request determines which backends are eligible.
 	request eligibility.Request
 	sent    clock.Millis
+	// limit is the timeout.
 	limit   clock.Millis
 	work    fingerprint.Fingerprint
 	ctx     context.Context
 	cancel  context.CancelFunc
 	endSlot func()
-	// asked tells that the call waits for a connection no longer.
+	// asked records that the call no longer waits for a connection. It may be called
+	// repeatedly.
 	asked func()
 }
 
 func (c *scoreCall) scorer() *Scorer { return c.job.spec.Items[c.index].Scorer }
 
-// call sends a call. The lock is held.
+// call starts a scoring call in a goroutine of its own. The caller holds r.mu.
 func (r *runner) call(job *ownedJob, index int, route *routetable.Route, backend fleet.Backend, now clock.Millis, request eligibility.Request) {
 	state := &job.items[index].score
 	limit := scoreLimit(&backend, route, state.cuts)
@@ -80,6 +82,7 @@
 	go c.serve()
 }
 
+// serve runs the call and handles its outcome.
 func (c *scoreCall) serve() {
 	fate := c.send()
 	c.asked()
@@ -89,14 +92,13 @@
 	c.runner.kick()
 }
 
-// admit asks at the moment of sending whether the back end may get the call.
+// admit checks again, immediately before the call is sent, that the backend is eligible.
 func (c *scoreCall) admit() error {
 	defer c.asked()
 	return c.runner.manager.config.Gate.Admit(c.backend.ID, c.request)
 }
 
-// tenant returns on whose behalf the call is made: that of the job, but for public
-// routes, which tell back ends of no tenant.
+// tenant returns the tenant to send with the call: that of the job, or none on a public route.
 func (c *scoreCall) tenant() string {
 	if c.route.Public {
 		return ""
@@ -104,9 +106,10 @@
 	return c.job.tenant
 }
 
-// scoreAnswerMost bounds the body of an answer that is read, in bytes.
+// scoreAnswerMost is the size in bytes from which a response body counts as truncated.
 const scoreAnswerMost = 1 << 20
 
+// send sends the call and reads its response.
 func (c *scoreCall) send() scoreFate {
 	m, scorer := c.runner.manager, c.scorer()
 	started := time.Now()
@@ -132,6 +135,7 @@
 	return fateOfAnswer(answer.Status, answer.Meta)
 }
 
+// fateOfCall classifies the error of a call without a response.
 func fateOfCall(err error) scoreFate {
 	switch upstream.FateOf(err) {
 	case upstream.NotSent, upstream.NotRun:
@@ -141,7 +145,7 @@
 	}
 }
 
-// errorOf returns why a call was not run, nil if it was.
+// errorOf returns the error of a call that was not run, nil for other outcomes.
 func errorOf(fate scoreFate) error {
 	if f, is := fate.(scoreNotRun); is {
 		return f.err
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// fateOfAnswer judges the head of a whole answer. It is pure.
+// fateOfAnswer classifies a complete response by its status and metadata.
 func fateOfAnswer(status int, meta upstream.Meta) scoreFate {
 	switch {
 	case status >= http.StatusOK && status < http.StatusMultipleChoices && meta.Stamp != "":
@@ -161,7 +165,8 @@
 	}
 }
 
-// blame records what a call's fate says of its back end.
+// blame records a failure or refusal of the call in the state of its backend. A call that was
+// canceled or withheld by this node says nothing about the backend.
 func (c *scoreCall) blame(fate scoreFate) {
 	backends, now := c.runner.manager.config.Fleet, time.Now()
 	if c.job.ctx.Err() != nil || errors.Is(c.ctx.Err(), context.Canceled) {
@@ -183,7 +188,8 @@
 	}
 }
 
-// logScore tells of a call that ended. The lock is held.
+// logScore logs the end of a call. fate is nil if the call returned a score. The caller holds
+// r.mu.
 func (r *runner) logScore(c *scoreCall, event string, fate scoreFate) {
 	state := &c.job.items[c.index].score
 	now := clock.Now()
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -9,48 +9,49 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// Bounds of the calls to scoring services.
+// Parameters of the calls to scoring services. Latencies are those of the service, targets the
+// latency target of the route.
 const (
-	// scoreCallsMost is the number of calls of one item at the same time.
+	// scoreCallsMost is the maximum number of concurrent calls for one item.
 	scoreCallsMost = 2
-	// scoreReserve is the share of a back end's slots, one at least, that calls
-	// leave free: live requests share the service and go first.
+	// scoreReserve is the share of a backend's slots, at least one, that is reserved for live
+	// requests, which have precedence.
 	scoreReserve = 0.15
-	// scoreOpening is what a new connection costs, in usual latencies: a call rather goes to
-	// any back end with a slot that a connection stands to.
+	// scoreOpening is the cost of a new connection in latencies, so that a call prefers a
+	// backend with an idle connection.
 	scoreOpening = 1
-	// scoreDistance is how many round trips the distance counts for: a call takes one,
-	// and bytes between zones and regions have a price.
+	// scoreDistance is the number of round trips added to the cost. It exceeds the one that a
+	// call takes because traffic between zones and regions is charged for.
 	scoreDistance = 1.5
-	// scoreUsual stands for a latency that nothing is known of.
+	// scoreUsual is the assumed latency if none is known.
 	scoreUsual = 30 * time.Millisecond
-	// scoreLimitLatencies is how many usual latencies a call may take at first, and
-	// scoreLimitTargets how many targets of the route at least. Each call that its
-	// limit cuts doubles the next one's: one request may be much longer than most.
+	// scoreLimitLatencies and scoreLimitTargets determine the initial timeout of a call: the
+	// greater of so many latencies and so many targets. It doubles with each call that was cut
+	// off, since a request may take much longer than most.
 	scoreLimitLatencies = 12
 	scoreLimitTargets   = 2
-	// scoreTimeout is the limit of a call on a route without a time-out.
+	// scoreTimeout is the maximum timeout of a call in ms on a route without a timeout.
 	scoreTimeout clock.Millis = 2000
-	// failedPause is the pause of an item whose call was answered with a failure.
+	// failedPause is the delay in ms before the next call after a response without a score.
 	failedPause clock.Millis = 30
-	// secondLatencies and secondTargets: a second call is sent beside one that has
-	// taken so many usual latencies and this share of the route's target.
+	// secondLatencies and secondTargets determine the delay of a hedging call: the greater of
+	// so many latencies and this share of the target.
 	secondLatencies = 4
 	secondTargets   = 0.5
 )
 
-// scorerWant is what a call wants of a back end.
+// scorerWant holds the requirements of a scoring call on a backend.
 type scorerWant struct {
-	// Request decides which back ends may get the call.
+	// Request determines which backends are eligible.
 	eligibility.Request
-	// avoid is the back end of the call beside which a second one is sent.
+	// avoid is the ID of the backend of the first call if this is a hedging call.
 	avoid string
-	// patient calls go only where a connection stands.
+	// patient restricts the call to backends with an idle connection.
 	patient bool
 }
 
-// pickScorer returns the index of the back end that a call goes to, or -1 if none
-// has a slot beyond those that live requests keep. It is pure.
+// pickScorer returns the index of the backend with the lowest cost for a scoring call, or -1 if
+// no eligible one has a slot beyond those reserved for live requests.
 func pickScorer(pool []fleet.Backend, want scorerWant, world *eligibility.World) int {
 	best := -1
 	var bestCost float64
@@ -68,8 +69,8 @@
 	return best
 }
 
-// scorerCost weighs a back end; one whose latency is not known is taken to be as quick as
-// the best that is known.
+// scorerCost returns the cost of a scoring call at a backend in nanoseconds. A backend without
+// a known latency is assumed to be as fast as the fastest one.
 func scorerCost(b *fleet.Backend, usual time.Duration, now time.Time) float64 {
 	latency := float64(usual)
 	if b.ScoreLatency > 0 {
@@ -86,6 +87,7 @@
 	return cost
 }
 
+// scoreLatency returns the scoring latency of b, or scoreUsual if it is unknown.
 func scoreLatency(b *fleet.Backend) time.Duration {
 	if b.ScoreLatency == 0 {
 		return scoreUsual
@@ -93,14 +95,15 @@
 	return b.ScoreLatency
 }
 
-// hasRoom tells whether a back end has a slot for a call.
+// hasRoom reports whether a backend has a slot for a scoring call and no requests waiting.
 func hasRoom(b *fleet.Backend) bool {
 	reserve := max(1, int(scoreReserve*float64(b.Slots)))
 	used := b.InFlight + b.OthersRunning
 	return b.Waiting == 0 && used < max(b.Slots-reserve, 1)
 }
 
-// scoreLimit returns how long a call may take. It is pure.
+// scoreLimit returns the timeout of a scoring call after cuts calls for the same item were cut
+// off.
 func scoreLimit(b *fleet.Backend, route *routetable.Route, cuts int) clock.Millis {
 	most := clock.Of(route.Timeout)
 	if most == 0 {
@@ -117,14 +120,13 @@
 	return min(limit, most)
 }
 
-// secondAfter returns after which time a second call is sent beside one. It is
-// pure.
+// secondAfter returns the time after which a call without a response is hedged by a second one.
 func secondAfter(pool []fleet.Backend, route *routetable.Route) clock.Millis {
 	return clock.Of(max(secondLatencies*usualScore(pool), time.Duration(secondTargets*float64(route.Target))))
 }
 
-// usualScore returns the latency of the best back end that is known, or the usual one. It
-// is pure.
+// usualScore returns the lowest known scoring latency in the pool, or scoreUsual if none is
+// known.
 func usualScore(pool []fleet.Backend) time.Duration {
 	usual := time.Duration(0)
 	for i := range pool {
@@ -138,15 +140,15 @@
 	return usual
 }
 
-// secondCalls is a budget: each first call earns a share of a second one.
+// secondCalls is a token bucket for hedging calls, filled by first calls.
 type secondCalls struct {
 	tokens float64
 }
 
 const (
-	// secondShare is the number of second calls to a first one; secondsMost, how
-	// many may be saved up.
+	// secondShare is the number of tokens that a first call adds.
 	secondShare = 0.05
+	// secondsMost is the capacity of the bucket.
 	secondsMost = 4
 )
 
--- a/internal/gatewaynode/batch/text.go
+++ b/internal/gatewaynode/batch/text.go
@@ -5,23 +5,25 @@
 	"slices"
 )
 
-// text is what an item's runs have made so far: whole events, each with the
-// version of the weights that made it. Event numbers begin at first.
+// text is the output of an item's runs so far.
 type text struct {
-	events   [][]byte
+	events [][]byte
+	// versions holds the version of the weights that produced each event.
 	versions []int64
+	// complete is set once the stream of events has ended.
 	complete bool
-	// score is what the call with the id scorer returned for the whole text.
+	// score is the score that the call with the ID scorer returned for the complete text.
 	score, scorer string
 }
 
-// scoredBy tells whether the text has the score that an item's scorer gives, or
-// needs none.
+// scoredBy reports whether the text has a score from the given scorer, or needs none because
+// scorer is nil.
 func (t text) scoredBy(scorer *Scorer) bool {
 	return scorer == nil || t.scorer == scorer.ID && t.score != ""
 }
 
-// fits tells whether the text may be used under a bound on versions.
+// fits reports whether all events were produced by weights of at least minVersion and, if
+// singleVersion is set, by the same version.
 func (t text) fits(minVersion int64, singleVersion bool) bool {
 	for _, version := range t.versions {
 		if version < minVersion || singleVersion && version != t.versions[0] {
@@ -31,7 +33,7 @@
 	return true
 }
 
-// only returns the version that the rest must have, 0 if any will do.
+// only returns the version that must produce the remaining events, 0 if any may.
 func (t text) only(singleVersion bool) int64 {
 	if !singleVersion || len(t.versions) == 0 {
 		return 0
@@ -39,27 +41,31 @@
 	return t.versions[0]
 }
 
+// longer reports whether t is complete and other is not, or t has more events.
 func (t text) longer(other text) bool {
 	return t.complete && !other.complete || len(t.events) > len(other.events)
 }
 
-// join returns the text and the versions that made it, ascending.
+// join returns the events, one per line, and the distinct versions that produced them in
+// ascending order.
 func (t text) join() (string, []int64) {
 	versions := slices.Clone(t.versions)
 	slices.Sort(versions)
 	return string(bytes.Join(t.events, []byte("\n"))), slices.Compact(versions)
 }
 
-// keptMost is the number of texts kept for later jobs.
+// keptMost is the maximum number of texts kept for later jobs.
 const keptMost = 600
 
-// keptTexts keeps texts of items of ended jobs, the newest.
+// keptTexts keeps the texts of the latest items by item ID, so that a later job with the same
+// item can continue them.
 type keptTexts struct {
 	texts map[string]keptText
+	// order holds the item IDs, oldest first.
 	order []string
 }
 
-// keptText is a text with what kind of job it belongs to.
+// keptText is a text with the kind of the job that it belongs to.
 type keptText struct {
 	made text
 	of   kind
@@ -67,6 +73,7 @@
 
 func newKeptTexts() keptTexts { return keptTexts{texts: make(map[string]keptText)} }
 
+// put keeps a text and drops the oldest ones beyond keptMost.
 func (k *keptTexts) put(item string, made text, of kind) {
 	if _, found := k.texts[item]; !found {
 		k.order = append(k.order, item)
@@ -78,6 +85,7 @@
 	}
 }
 
+// take returns the text kept for an item, which stays in k.
 func (k *keptTexts) take(item string) (text, bool) {
 	kept, found := k.texts[item]
 	return kept.made, found
