--- a/internal/gatewaynode/batch/groups_test.go
+++ b/internal/gatewaynode/batch/groups_test.go
@@ -25,34 +25,34 @@
 		route *routetable.Route
 		want  clock.Millis
 	}{
-		{"nothing is finished", ownedJob{left: 3, groups: few}, nil, 0},
+		{"no finished items", ownedJob{left: 3, groups: few}, nil, 0},
 		{"too few groups are whole", ownedJob{left: 3, groups: few, finished: finished(100)}, nil, holdMost - 100},
-		{"held for long", ownedJob{left: 3, groups: few, finished: finished(holdMost)}, nil, 0},
+		{"held for the maximum time", ownedJob{left: 3, groups: few, finished: finished(holdMost)}, nil, 0},
 		{"enough groups are whole", ownedJob{left: 3, groups: enough, finished: finished(0)}, nil, 0},
-		{"no groups are waited for", ownedJob{left: 3, finished: finished(0)}, nil, 0},
-		{"nothing is left to wait for", ownedJob{groups: few, finished: finished(0)}, nil, 0},
+		{"no wanted groups", ownedJob{left: 3, finished: finished(0)}, nil, 0},
+		{"no items left", ownedJob{groups: few, finished: finished(0)}, nil, 0},
 		{"job is closed", ownedJob{left: 3, ctx: ctx, groups: few, finished: finished(0)}, nil, 0},
-		{"far from due", ownedJob{left: 3, head: submitted(time.Second), groups: few, finished: finished(0)}, due, holdMost},
-		{"soon due", ownedJob{left: 3, head: submitted(6900 * time.Millisecond), groups: few, finished: finished(0)}, due, 100},
-		{"little is missing", ownedJob{left: 3, groups: groups{wanted: 10, whole: 8}, finished: finished(500)}, nil, holdTail - 500},
+		{"due later", ownedJob{left: 3, head: submitted(time.Second), groups: few, finished: finished(0)}, due, holdMost},
+		{"due soon", ownedJob{left: 3, head: submitted(6900 * time.Millisecond), groups: few, finished: finished(0)}, due, 100},
+		{"few groups are missing", ownedJob{left: 3, groups: groups{wanted: 10, whole: 8}, finished: finished(500)}, nil, holdTail - 500},
 		{"carried groups are missing", ownedJob{left: 3, groups: groups{wanted: 2, whole: 2, carriedLeft: 1}, finished: finished(0)}, nil, holdTail},
-		{"due for long", ownedJob{left: 3, head: submitted(9 * time.Second), groups: few, finished: finished(100)}, due, holdMost - 100},
+		{"long past due", ownedJob{left: 3, head: submitted(9 * time.Second), groups: few, finished: finished(100)}, due, holdMost - 100},
 		{"just past due", ownedJob{left: 3, head: submitted(7100 * time.Millisecond), groups: few, finished: finished(0)}, due, -100},
-		{"much text", ownedJob{left: 3, groups: few, finished: []finishedItem{{at: moment, result: Result{Text: strings.Repeat(".", holdBytes+1)}}}}, nil, 0},
+		{"held text exceeds holdBytes", ownedJob{left: 3, groups: few, finished: []finishedItem{{at: moment, result: Result{Text: strings.Repeat(".", holdBytes+1)}}}}, nil, 0},
 	}
 	for _, test := range cases {
 		if test.job.ctx == nil {
 			test.job.ctx = context.Background()
 		}
 		if got := test.job.holdLeft(test.route, &lengths{}, now); got != test.want && got != test.want-1 {
-			t.Errorf("%s: %d ms, want %d", test.name, got, test.want)
+			t.Errorf("%s: holdLeft = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
 }
 
-// TestResultsWaitForTheEndThatIsNear: results that end shortly before the last item
-// wait for it, though many groups are missing, and others do not.
-func TestResultsWaitForTheEndThatIsNear(t *testing.T) {
+// TestHoldUntilJobEnds checks that results are held until the end of the job if that is near, even
+// if many groups are missing, and not otherwise.
+func TestHoldUntilJobEnds(t *testing.T) {
 	now := time.Now()
 	spec := &Spec{Model: "m"}
 	var known lengths
@@ -76,15 +76,15 @@
 		age   time.Duration
 		want  clock.Millis
 	}{
-		{"all of the time that is left", []itemState{running(50)}, &known, 0, holdTail + holdSlack},
-		{"the longest has 25 events to go", []itemState{{phase: phaseFinished}, running(90), running(75)}, &known, 0, 1000 + holdSlack},
-		{"longer than any known", []itemState{running(120)}, &known, 0, holdMost - held},
-		{"the longest has long to go", []itemState{running(90), running(20)}, &known, 0, holdMost - held},
-		{"one waits for a slot", []itemState{running(90), {phase: phaseWaiting}}, &known, 0, holdMost - held},
-		{"nothing is known of the model", []itemState{running(90)}, &lengths{}, 0, holdMost - held},
-		{"more than one read brings, with time to come back", []itemState{long(75)}, &known, 0, 0},
-		{"more than one read brings, too late", []itemState{long(85)}, &known, 0, 600 + holdSlack},
-		{"due before that", []itemState{running(75)}, &known, 6500 * time.Millisecond, 500},
+		{"the longest may run for holdTail", []itemState{running(50)}, &known, 0, holdTail + holdSlack},
+		{"the longest has 25 events left", []itemState{{phase: phaseFinished}, running(90), running(75)}, &known, 0, 1000 + holdSlack},
+		{"longer than any ended item", []itemState{running(120)}, &known, 0, holdMost - held},
+		{"the longest runs for much longer", []itemState{running(90), running(20)}, &known, 0, holdMost - held},
+		{"an item waits for a slot", []itemState{running(90), {phase: phaseWaiting}}, &known, 0, holdMost - held},
+		{"no lengths known for the model", []itemState{running(90)}, &lengths{}, 0, holdMost - held},
+		{"more than one page, with time for a second read", []itemState{long(75)}, &known, 0, 0},
+		{"more than one page, without time for a second read", []itemState{long(85)}, &known, 0, 600 + holdSlack},
+		{"due before the end", []itemState{running(75)}, &known, 6500 * time.Millisecond, 500},
 	}
 	for _, test := range cases {
 		job := ownedJob{
@@ -92,12 +92,12 @@
 			finished: []finishedItem{{at: clock.At(now) - held}}, head: Head{SubmittedMillis: now.Add(-test.age).UnixMilli()},
 		}
 		if got := job.holdLeft(due, test.known, now); got < test.want-2 || got > test.want {
-			t.Errorf("%s: %d ms, want %d", test.name, got, test.want)
+			t.Errorf("%s: holdLeft = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
 }
 
-func TestGroupsAreWholeOnceTheirLastItemIsFinished(t *testing.T) {
+func TestGroupIsWholeAfterItsLastItem(t *testing.T) {
 	g := newGroups(&Spec{Desired: 2, Items: []Item{{Group: "a"}, {Group: "b"}, {Group: "a"}, {Group: "c"}}})
 	for i, step := range []struct {
 		group   string
@@ -105,25 +105,25 @@
 	}{{"a", false}, {"b", false}, {"a", true}, {"c", true}} {
 		g.finish(step.group)
 		if g.reached() != step.reached {
-			t.Errorf("after %d items: reached %t", i+1, g.reached())
+			t.Errorf("after %d items: reached = %t, want %t", i+1, g.reached(), step.reached)
 		}
 	}
 }
 
-func TestCarriedGroupsAreAllWaitedFor(t *testing.T) {
+func TestCarriedGroupsAreRequired(t *testing.T) {
 	g := newGroups(&Spec{Desired: 1, Items: []Item{{Group: "a"}, {Group: "b"}, {Group: "c"}}})
 	g.carry("b")
 	g.carry("b")
 	g.finish("a")
 	if g.reached() {
-		t.Error("reached though a carried group is missing")
+		t.Error("reached while a carried group is missing")
 	}
 	g.finish("b")
 	if !g.reached() {
-		t.Error("not reached though the carried group is whole")
+		t.Error("not reached although the carried group is whole")
 	}
 	g.carry("b")
 	if !g.reached() {
-		t.Error("a whole group is waited for once more")
+		t.Error("carrying a whole group made it required again")
 	}
 }
--- a/internal/gatewaynode/batch/memory_test.go
+++ b/internal/gatewaynode/batch/memory_test.go
@@ -8,8 +8,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// TestPlacementByMemory: each row is a pool of two back ends, alike but for what is held
-// at them, and where an item goes.
+// TestPlacementByMemory checks the choice between two backends that differ mainly in memory use.
 func TestPlacementByMemory(t *testing.T) {
 	const most = 30000
 	holding := func(held, expected int) func(*fleet.Backend) {
@@ -22,21 +21,21 @@
 		want   need
 		pick   string
 	}{
-		{"long items apart", holding(2000, 22000), func(b *fleet.Backend) {
+		{"long item avoids other long items", holding(2000, 22000), func(b *fleet.Backend) {
 			holding(8000, 9000)(b)
 			b.InFlight = 2
 		}, need{held: 1024, expected: 11264}, "b"},
-		{"a short one beside long ones", holding(2000, 22000), func(b *fleet.Backend) {
+		{"short item joins long items", holding(2000, 22000), func(b *fleet.Backend) {
 			holding(8000, 9000)(b)
 			b.InFlight = 3
 		}, need{held: 1024, expected: 1024}, "a"},
-		{"no memory left now", holding(27000, 27000), func(b *fleet.Backend) {
+		{"no memory left at a backend", holding(27000, 27000), func(b *fleet.Backend) {
 			holding(1000, 29000)(b)
 			b.Pace = 60 * time.Millisecond
 		}, need{held: 1024, expected: 2048}, "b"},
-		{"no memory anywhere", holding(27000, 27000), holding(26500, 27000), need{held: 1024, expected: 2048}, ""},
-		{"larger than any memory, where nothing runs", holding(1000, 2000), holding(0, 0), need{held: 40960, expected: 40960}, "b"},
-		{"memories that are not known", nil, func(b *fleet.Backend) { b.InFlight = 1 }, need{held: 1 << 30, expected: 1 << 30}, "a"},
+		{"no memory left at any backend", holding(27000, 27000), holding(26500, 27000), need{held: 1024, expected: 2048}, ""},
+		{"item larger than any memory goes to an unused backend", holding(1000, 2000), holding(0, 0), need{held: 40960, expected: 40960}, "b"},
+		{"memory size unknown", nil, func(b *fleet.Backend) { b.InFlight = 1 }, need{held: 1 << 30, expected: 1 << 30}, "a"},
 	} {
 		pool := []fleet.Backend{backend("a", test.first), backend("b", test.second)}
 		want := test.want
@@ -46,14 +45,14 @@
 			got = pool[index].ID
 		}
 		if got != test.pick {
-			t.Errorf("%s: %q, want %q", test.name, got, test.pick)
+			t.Errorf("%s: picked %q, want %q", test.name, got, test.pick)
 		}
 	}
 }
 
-// TestItemsAreNotMovedIntoACrowd: a faster back end whose memory will not do is no place
-// to go on.
-func TestItemsAreNotMovedIntoACrowd(t *testing.T) {
+// TestNoMoveToUnsuitableBackend checks that items are not moved to a faster backend that is short
+// of memory or whose last request failed.
+func TestNoMoveToUnsuitableBackend(t *testing.T) {
 	slow := func(b *fleet.Backend) { b.Pace = 120 * time.Millisecond }
 	crowded := func(b *fleet.Backend) { b.Memory = fleet.Memory{Most: 30000, Held: 9000, Expected: 28000} }
 	want := need{Request: weightsOf("m", 3), held: 4096, expected: 11264}
@@ -71,8 +70,8 @@
 	}
 }
 
-// TestUsageOfRuns: what runs hold is counted exactly, and what they will hold follows the
-// hint until it is belied.
+// TestUsageOfRuns checks that current usage is counted exactly, and that expected usage follows the
+// length hints until items exceed them.
 func TestUsageOfRuns(t *testing.T) {
 	r := newRunner(nil)
 	for range 100 {
@@ -88,32 +87,32 @@
 	r.jobs["j"] = job
 	used := r.usages()["b"]
 	if used.prompts != 900 || used.events != 165 {
-		t.Errorf("held: %+v", used)
+		t.Errorf("usage = %+v, want 900 prompt tokens and 165 events", used)
 	}
 	for i, want := range []int{22, 60, 140} {
 		if got := r.expectedEvents(job, i); got < want-2 || got > want+2 {
-			t.Errorf("item %d: %d events expected, want about %d", i, got, want)
+			t.Errorf("item %d: expectedEvents = %d, want about %d", i, got, want)
 		}
 	}
 	pool := []fleet.Backend{{Instance: fleet.Instance{ID: "b"}}, {Instance: fleet.Instance{ID: "c"}}}
 	fillMemory(pool, routetable.Service{CacheTokens: 30000, EventTokens: 75}, r.usages())
 	if pool[0].Memory.Held != 900+165*75 || pool[1].Memory.Held != 0 || pool[1].Memory.Most != 30000 {
-		t.Errorf("%+v", pool)
+		t.Errorf("unexpected memory: %+v", pool)
 	}
 }
 
-// TestMovedItemKeepsItsPlace: a slot is kept free at the back end that an item is being
-// moved to, and the item starts there though another waits for longer.
-func TestMovedItemKeepsItsPlace(t *testing.T) {
+// TestMoveReservesSlot checks that a slot is reserved at the backend that an item is being moved to
+// and that a reserved slot is not available to other items.
+func TestMoveReservesSlot(t *testing.T) {
 	r := newRunner(nil)
 	job := &ownedJob{ready: true, spec: &Spec{Model: "m", Items: make([]Item, 2)}, items: make([]itemState, 2)}
 	job.items[0] = itemState{phase: phaseRunning, backend: "slow", target: "fast"}
 	r.jobs["j"] = job
 	if used := r.usages()["fast"]; used.reserved != 1 {
-		t.Errorf("%d slots are kept free", used.reserved)
+		t.Errorf("reserved = %d, want 1", used.reserved)
 	}
 	fast := backend("fast", func(b *fleet.Backend) { b.InFlight = 4 })
 	if suits(&fast, need{Request: weightsOf("m", 0)}, placeWorld) {
-		t.Error("another item starts in the place that is kept")
+		t.Error("another item may start in a reserved slot")
 	}
 }
--- a/internal/gatewaynode/batch/regions_test.go
+++ b/internal/gatewaynode/batch/regions_test.go
@@ -10,8 +10,9 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/tenant"
 )
 
-// regionsManager returns a manager that stands in region a under a configuration with a
-// route of a and b, one that is not bound, and a tenant of b and c.
+// regionsManager returns a manager in region a. Its configuration has a route restricted to
+// regions a and b, an unrestricted route, a tenant restricted to b and c, and an unrestricted
+// tenant.
 func regionsManager() *Manager {
 	table := routetable.New(1, []routetable.Route{
 		{Name: "ab", Kind: routetable.KindBatch, Regions: place.NewRegions("a", "b")}, {Name: "free", Kind: routetable.KindBatch},
@@ -27,35 +28,36 @@
 	return m
 }
 
-// TestRegionsOfAJob: route and tenant both bind, and the regions as of acceptance where
-// the configuration no longer has the route.
-func TestRegionsOfAJob(t *testing.T) {
+// TestRegionsOf checks that a job is restricted by both its route and its tenant, and by the
+// regions of its acceptance if the configuration lacks the route.
+func TestRegionsOf(t *testing.T) {
 	m := regionsManager()
 	for _, test := range []struct {
 		name string
 		head Head
 		want string
 	}{
-		{"route alone", Head{Route: "ab", Tenant: "any"}, "a,b"},
-		{"tenant alone", Head{Route: "free", Tenant: "bc"}, "b,c"},
+		{"route only", Head{Route: "ab", Tenant: "any"}, "a,b"},
+		{"tenant only", Head{Route: "free", Tenant: "bc"}, "b,c"},
 		{"both", Head{Route: "ab", Tenant: "bc"}, "b"},
 		{"neither", Head{Route: "free"}, "all"},
-		{"what the configuration says now goes before what it said", Head{Route: "ab", Regions: []string{"c"}}, "a,b"},
-		{"route gone", Head{Route: "gone", Regions: []string{"c", "d"}}, "c,d"},
-		{"route gone, tenant bound", Head{Route: "gone", Tenant: "bc", Regions: []string{"c", "d"}}, "c"},
+		{"route replaces the regions of the acceptance", Head{Route: "ab", Regions: []string{"c"}}, "a,b"},
+		{"route missing", Head{Route: "gone", Regions: []string{"c", "d"}}, "c,d"},
+		{"route missing, tenant restricted", Head{Route: "gone", Tenant: "bc", Regions: []string{"c", "d"}}, "c"},
 	} {
 		if got := m.regionsOf(test.head).String(); got != test.want {
-			t.Errorf("%s: %q, want %q", test.name, got, test.want)
+			t.Errorf("%s: regions %q, want %q", test.name, got, test.want)
 		}
 	}
 	m.config.Routes = func() *routetable.Table { return nil }
 	if got := m.regionsOf(Head{Route: "ab", Regions: []string{"c"}}).String(); got != "c" {
-		t.Errorf("without a configuration: %q", got)
+		t.Errorf("no configuration: regions %q, want \"c\"", got)
 	}
 }
 
-// TestMemoryIsBoundAsJobsAre: what may not live here is dropped, and not put there.
-func TestMemoryIsBoundAsJobsAre(t *testing.T) {
+// TestMemoryRespectsRegions checks that specifications and texts of jobs that are not allowed in
+// the node's region are dropped from memory, and that no further texts of them are kept.
+func TestMemoryRespectsRegions(t *testing.T) {
 	m := regionsManager()
 	heads := map[string]Head{"here": {Route: "ab"}, "elsewhere": {Route: "free", Tenant: "bc"}}
 	for id, head := range heads {
@@ -71,13 +73,14 @@
 		_, kept := m.runner.kept.take("item of " + id)
 		_, later := m.runner.kept.take("later item of " + id)
 		if held := m.specs.get(id) != nil; held != wanted || kept != wanted || later != wanted {
-			t.Errorf("%s: specification %t, texts %t, %t", id, held, kept, later)
+			t.Errorf("%s: kept specification %t, earlier text %t, later text %t; want %t", id, held, kept, later, wanted)
 		}
 	}
 }
 
-// TestConfinedModels: a model is bound as all of its recent jobs together are.
-func TestConfinedModels(t *testing.T) {
+// TestConfined checks that a model is restricted to the regions of all its recent jobs, and not
+// restricted if one of them is not.
+func TestConfined(t *testing.T) {
 	m := regionsManager()
 	put := func(id string, head Head) { m.state(id).setHead(head, 1) }
 	put("1", Head{Model: "m", Route: "ab"})
@@ -88,6 +91,6 @@
 	m.jobs["5"].seen = time.Now().Add(-2 * demandWindow)
 	found := m.Confined()
 	if len(found) != 1 || found["m"].String() != "a,b,c" {
-		t.Errorf("%v", found)
+		t.Errorf("Confined() = %v, want a,b,c for m only", found)
 	}
 }
--- a/internal/gatewaynode/batch/schedule_test.go
+++ b/internal/gatewaynode/batch/schedule_test.go
@@ -18,13 +18,13 @@
 		wait       time.Duration
 		want       bool
 	}{
-		{"long item, slot free soon", 100, 120 * ms, 40 * ms, 50 * ms, false},
+		{"long item, short queue", 100, 120 * ms, 40 * ms, 50 * ms, false},
 		{"long item, long queue", 100, 120 * ms, 40 * ms, 9000 * ms, true},
 		{"short item, long queue", 5, 120 * ms, 40 * ms, 1000 * ms, true},
-		{"nothing known of lengths", 0, 120 * ms, 40 * ms, 0, true},
+		{"unknown length", 0, 120 * ms, 40 * ms, 0, true},
 	} {
 		if got := worthStarting(test.events, test.slow, test.fast, test.wait); got != test.want {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: worthStarting = %t, want %t", test.name, got, test.want)
 		}
 	}
 }
@@ -37,27 +37,27 @@
 	}
 	want := need{Request: weightsOf("m", 3)}
 	if got := fastSlots(pool, want, typicalPace(pool, placeNow), placeWorld); got != 8 {
-		t.Errorf("%d slots, want 8: full ones count, slow and old ones do not", got)
+		t.Errorf("got %d slots, want 8: those of full backends count, those of slow or outdated ones do not", got)
 	}
 }
 
-func TestLengthsAreLearnt(t *testing.T) {
+func TestLengthEstimates(t *testing.T) {
 	var l lengths
 	if l.expected(100) != 0 || l.wait(3, 4) != 0 || l.wait(3, 0) != never {
-		t.Error("something is known before any item ended")
+		t.Error("unexpected estimate before any item ended")
 	}
 	for range 50 {
 		l.observe("m", 100, 20, time.Second)
 	}
 	if got := l.expected(200); got < 39.9 || got > 40.1 {
-		t.Errorf("%.1f events expected, want 40", got)
+		t.Errorf("expected = %.1f events, want 40", got)
 	}
 	if got := l.wait(7, 4); got < 1990*time.Millisecond || got > 2010*time.Millisecond {
-		t.Errorf("wait %s, want 2 s: eight items for four slots of a second each", got)
+		t.Errorf("wait = %s, want 2s: eight items of one second each on four slots", got)
 	}
 }
 
-func TestCandidatesAreOrdered(t *testing.T) {
+func TestSortCandidates(t *testing.T) {
 	older := &ownedJob{id: "older", head: Head{SubmittedMillis: 1}}
 	newer := &ownedJob{id: "newer", head: Head{SubmittedMillis: 2}}
 	list := []candidate{
@@ -67,14 +67,14 @@
 	sortCandidates(list)
 	for i, want := range []int{3, 1, 2, 0} {
 		if list[i].index != want {
-			t.Errorf("place %d: candidate %d, want %d", i, list[i].index, want)
+			t.Errorf("position %d: got item %d, want %d", i, list[i].index, want)
 		}
 	}
 }
 
-// TestPriorityGoesBeforeLength: the rank of the job's tenant, or that of its route where
-// the tenant has none, goes before what is expected of its items.
-func TestPriorityGoesBeforeLength(t *testing.T) {
+// TestPriorityPrecedesLength checks that candidates are sorted by the priority of the tenant, or
+// of the route if the tenant has none, before their expected length.
+func TestPriorityPrecedesLength(t *testing.T) {
 	r := newRunner(nil)
 	table := routetable.New(1, nil, nil, routetable.Limits{})
 	table.Tenants = tenant.NewSet([]tenant.Entry{
@@ -93,7 +93,7 @@
 	sortCandidates(list)
 	for i, want := range []string{"first", "unranked", "gone", "last"} {
 		if list[i].job.tenant != want {
-			t.Errorf("place %d: %s, want %s", i, list[i].job.tenant, want)
+			t.Errorf("position %d: got tenant %s, want %s", i, list[i].job.tenant, want)
 		}
 	}
 }
@@ -119,13 +119,13 @@
 		hints []int
 		want  string
 	}{
-		{"none", nil, ""},
+		{"no items", nil, ""},
 		{"no hints", []int{0, 0, 0}, ""},
-		{"alike", []int{10, 9, 8, 10, 9, 8}, ""},
-		{"some long", []int{10, 100, 12, 90, 11, 10}, "acef"},
+		{"similar hints", []int{10, 9, 8, 10, 9, 8}, ""},
+		{"some long items", []int{10, 100, 12, 90, 11, 10}, "acef"},
 	} {
 		if got := marked(test.hints...); got != test.want {
-			t.Errorf("%s: %q short, want %q", test.name, got, test.want)
+			t.Errorf("%s: items %q are short, want %q", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/gatewaynode/batch/scoreplace_test.go
+++ b/internal/gatewaynode/batch/scoreplace_test.go
@@ -34,26 +34,26 @@
 		want scorerWant
 		id   string
 	}{
-		{"none", nil, scorerWant{}, ""},
-		{"own zone first", []fleet.Backend{far, near}, scorerWant{}, "near"},
-		{"other zone if the own is loaded", []fleet.Backend{scoringBackend("near", 0, 4, 30*ms), far}, scorerWant{}, "far"},
-		{"a slot stays free for live requests", []fleet.Backend{scoringBackend("near", 0, 5, 30*ms)}, scorerWant{}, ""},
-		{"what others run counts", []fleet.Backend{change(near, func(b *fleet.Backend) { b.OthersRunning = 5 })}, scorerWant{}, ""},
-		{"where requests wait nothing is added", []fleet.Backend{change(near, func(b *fleet.Backend) { b.Waiting = 1 })}, scorerWant{}, ""},
-		{"leaving", []fleet.Backend{change(near, func(b *fleet.Backend) { b.Draining = true })}, scorerWant{}, ""},
+		{"empty pool", nil, scorerWant{}, ""},
+		{"own zone preferred", []fleet.Backend{far, near}, scorerWant{}, "near"},
+		{"other zone if the own one is loaded", []fleet.Backend{scoringBackend("near", 0, 4, 30*ms), far}, scorerWant{}, "far"},
+		{"slot reserved for live requests", []fleet.Backend{scoringBackend("near", 0, 5, 30*ms)}, scorerWant{}, ""},
+		{"load from other nodes", []fleet.Backend{change(near, func(b *fleet.Backend) { b.OthersRunning = 5 })}, scorerWant{}, ""},
+		{"requests waiting", []fleet.Backend{change(near, func(b *fleet.Backend) { b.Waiting = 1 })}, scorerWant{}, ""},
+		{"draining", []fleet.Backend{change(near, func(b *fleet.Backend) { b.Draining = true })}, scorerWant{}, ""},
 		{"suspended", []fleet.Backend{change(near, func(b *fleet.Backend) { b.SuspendedUntil = now.Add(ms) })}, scorerWant{}, ""},
-		{"second call goes elsewhere", []fleet.Backend{near, far}, scorerWant{avoid: "near"}, "far"},
-		{"one slot alone is used", []fleet.Backend{change(near, func(b *fleet.Backend) { b.Slots = 1 })}, scorerWant{}, "near"},
+		{"second call to another backend", []fleet.Backend{near, far}, scorerWant{avoid: "near"}, "far"},
+		{"single slot is not reserved", []fleet.Backend{change(near, func(b *fleet.Backend) { b.Slots = 1 })}, scorerWant{}, "near"},
 		{"slow", []fleet.Backend{scoringBackend("near", 0, 0, 100*ms), far}, scorerWant{}, "far"},
 	}
 	for _, test := range cases {
-		place := pickScorer(test.pool, test.want, &eligibility.World{Now: now})
+		index := pickScorer(test.pool, test.want, &eligibility.World{Now: now})
 		got := ""
-		if place >= 0 {
-			got = test.pool[place].ID
+		if index >= 0 {
+			got = test.pool[index].ID
 		}
 		if got != test.id {
-			t.Errorf("%s: %q, want %q", test.name, got, test.id)
+			t.Errorf("%s: picked %q, want %q", test.name, got, test.id)
 		}
 	}
 }
@@ -68,20 +68,20 @@
 		cuts    int
 		want    clock.Millis
 	}{
-		{"quick", 10 * ms, route, 0, 300},
-		{"usual", 40 * ms, route, 0, 480},
-		{"cut once", 40 * ms, route, 1, 960},
-		{"never above the route's time-out", 40 * ms, route, 9, 1500},
-		{"route without a time-out", 40 * ms, &routetable.Route{}, 9, scoreTimeout},
+		{"low latency", 10 * ms, route, 0, 300},
+		{"typical latency", 40 * ms, route, 0, 480},
+		{"cut off once", 40 * ms, route, 1, 960},
+		{"limited by the route's timeout", 40 * ms, route, 9, 1500},
+		{"route without a timeout", 40 * ms, &routetable.Route{}, 9, scoreTimeout},
 	} {
 		b := scoringBackend("b", 0, 0, test.latency)
 		if got := scoreLimit(&b, test.route, test.cuts); got != test.want {
-			t.Errorf("%s: %d, want %d", test.name, got, test.want)
+			t.Errorf("%s: scoreLimit = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
 }
 
-func TestSecondCallsHaveABudget(t *testing.T) {
+func TestSecondCallsAreLimited(t *testing.T) {
 	var budget secondCalls
 	taken := 0
 	for range 1000 {
@@ -92,7 +92,7 @@
 		}
 	}
 	if most := int(1000*secondShare) + secondsMost; taken > most || taken == 0 {
-		t.Errorf("%d second calls beside 1000 first ones, want 1 to %d", taken, most)
+		t.Errorf("%d second calls for 1000 first ones, want 1 to %d", taken, most)
 	}
 }
 
@@ -105,8 +105,8 @@
 	}{
 		{"score", 200, "s", scored{"s"}},
 		{"success without a score", 200, "", scoreUnusable{200}},
-		{"failure", 500, "s", scoreFailed{}},
-		{"out of time", 504, "s", scoreUnusable{504}},
+		{"internal server error", 500, "s", scoreFailed{}},
+		{"gateway timeout", 504, "s", scoreUnusable{504}},
 		{"redirect", 302, "s", scoreUnusable{302}},
 	} {
 		if got := fateOfAnswer(test.status, upstream.Meta{Stamp: test.stamp}); got != test.want {
@@ -117,12 +117,12 @@
 	for fate, wantCut := range map[upstream.Fate]bool{upstream.NotSent: false, upstream.NotRun: false, upstream.Unknown: true} {
 		_, cut := fateOfCall(&upstream.Error{Fate: fate, Cause: failure}).(scoreCut)
 		if cut != wantCut {
-			t.Errorf("fate %s: cut %t", fate, cut)
+			t.Errorf("fate %s: cut = %t, want %t", fate, cut, wantCut)
 		}
 	}
 }
 
-func TestWholeTextIsStoredAndReadAgain(t *testing.T) {
+func TestCompleteTextIsStoredAndRestored(t *testing.T) {
 	rows := []struct {
 		from  int
 		whole bool
@@ -130,11 +130,11 @@
 	}{{0, false, []string{"a", "b"}}, {2, true, []string{"c"}}}
 	item := itemState{phase: phaseScoring, firstStart: time.Now(), text: text{events: [][]byte{[]byte("a")}, versions: []int64{1}, complete: true}}
 	if !item.unsaved(time.Hour) {
-		t.Error("a whole text that waits is not stored at once")
+		t.Error("complete text that waits for its score is not stored at once")
 	}
 	item.saved, item.savedWhole = 1, true
 	if item.unsaved(0) {
-		t.Error("a whole text is stored twice")
+		t.Error("complete text is stored twice")
 	}
 	var stored []partialRow
 	for _, row := range rows {
@@ -147,12 +147,12 @@
 	for count, wantWhole := range map[int]bool{1: false, 2: true} {
 		found := decodePartials(partialRows("job", stored[:count]))[0]
 		if found.complete != wantWhole {
-			t.Errorf("with %d rows: whole %t", count, found.complete)
+			t.Errorf("with %d rows: complete = %t, want %t", count, found.complete, wantWhole)
 		}
 	}
 }
 
-// partialRows returns the rows of stretches of item 0.
+// partialRows returns consecutive rows of text of item 0.
 func partialRows(job string, stretches []partialRow) []rowstore.Row {
 	var rows []rowstore.Row
 	from := 0
--- a/internal/gatewaynode/batch/text_test.go
+++ b/internal/gatewaynode/batch/text_test.go
@@ -8,6 +8,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/rowstore"
 )
 
+// made returns a text with one event for each version.
 func made(versions ...int64) text {
 	var t text
 	for i, version := range versions {
@@ -17,7 +18,7 @@
 	return t
 }
 
-func TestTextFitsAJob(t *testing.T) {
+func TestTextFits(t *testing.T) {
 	cases := []struct {
 		text   text
 		least  int64
@@ -32,31 +33,32 @@
 	}
 	for _, test := range cases {
 		if got := test.text.fits(test.least, test.single); got != test.want {
-			t.Errorf("versions %v, least %d, single %t: %t", test.text.versions, test.least, test.single, got)
+			t.Errorf("versions %v, minimum %d, single %t: fits = %t, want %t", test.text.versions, test.least, test.single, got, test.want)
 		}
 	}
 }
 
-func TestTextJoinNamesEachVersionOnce(t *testing.T) {
+func TestTextJoin(t *testing.T) {
 	content, versions := made(4, 3, 4, 5).join()
 	if content != "e1\ne2\ne3\ne4" || !reflect.DeepEqual(versions, []int64{3, 4, 5}) {
-		t.Fatalf("%q %v", content, versions)
+		t.Fatalf("join() = %q, %v", content, versions)
 	}
 }
 
-func TestKeptTextsForgetTheOldest(t *testing.T) {
+func TestKeptTextsDropTheOldest(t *testing.T) {
 	kept := newKeptTexts()
 	for i := range keptMost + 10 {
 		kept.put(fmt.Sprint(i), made(1), kind{})
 	}
 	if _, found := kept.take("9"); found {
-		t.Error("the oldest text is still there")
+		t.Error("oldest text was not dropped")
 	}
 	if _, found := kept.take("10"); !found || len(kept.texts) != keptMost {
-		t.Errorf("%d texts kept", len(kept.texts))
+		t.Errorf("text 10 kept: %t; %d texts kept, want %d", found, len(kept.texts), keptMost)
 	}
 }
 
+// partial returns a stored row of text.
 func partial(item int, line string, from int, words ...string) rowstore.Row {
 	row := partialRow{}
 	for _, word := range words {
@@ -66,17 +68,19 @@
 	return rowstore.Row{RowID: partialID("job", item, line, from), Value: encode(row)}
 }
 
-func TestStoredTextIsPutTogetherFromOneLineAlone(t *testing.T) {
+// TestDecodePartials checks that rows of different lines, which different owners wrote, are not
+// combined, and that a gap ends the text.
+func TestDecodePartials(t *testing.T) {
 	rows := []rowstore.Row{
-		// Item 0: a line in two rows.
+		// Item 0: one line in two rows.
 		partial(0, "1.0", 0, "a", "b"), partial(0, "1.0", 2, "c"),
-		// Item 1: the second owner's line is longer; they do not mix.
+		// Item 1: two lines, of which the second owner's is longer.
 		partial(1, "1.0", 0, "x", "y"), partial(1, "2.0", 0, "p", "q", "r"),
-		// Item 2: a row is missing between two.
+		// Item 2: a row is missing in between.
 		partial(2, "1.0", 0, "a"), partial(2, "1.0", 3, "d"),
 		// Item 3: the first row is missing.
 		partial(3, "1.0", 2, "c"),
-		// Item 4: a row was written again with more.
+		// Item 4: a row was rewritten with more events.
 		partial(4, "1.0", 0, "a"), partial(4, "1.0", 0, "a", "b"),
 		{RowID: rowstore.RowID{Key: "job/00000005/1.0/00000000"}, Value: []byte("no JSON")},
 		{RowID: rowstore.RowID{Key: "job/strange"}, Value: []byte("{}")},
@@ -84,43 +88,43 @@
 	got := decodePartials(rows)
 	want := map[int]string{0: "a\nb\nc", 1: "p\nq\nr", 2: "a", 4: "a\nb"}
 	if len(got) != len(want) {
-		t.Errorf("%d texts, want %d", len(got), len(want))
+		t.Errorf("got %d texts, want %d", len(got), len(want))
 	}
 	for item, content := range want {
 		if joined, _ := got[item].join(); joined != content {
-			t.Errorf("item %d: %q, want %q", item, joined, content)
+			t.Errorf("item %d: text %q, want %q", item, joined, content)
 		}
 	}
 }
 
-func TestDecodeResultsWantsConsecutivePositions(t *testing.T) {
+func TestDecodeResultsRequiresConsecutivePositions(t *testing.T) {
 	row := func(position int) rowstore.Row {
 		return rowstore.Row{RowID: resultID("job", position), Value: encode(Result{ID: fmt.Sprint(position)})}
 	}
 	if results, err := decodeResults([]rowstore.Row{row(3), row(4)}, 3); err != nil || len(results) != 2 {
-		t.Errorf("%v, %v", results, err)
+		t.Errorf("decodeResults = %v, %v; want 2 results", results, err)
 	}
 	if _, err := decodeResults([]rowstore.Row{row(3), row(5)}, 3); err == nil {
-		t.Error("a gap was not seen")
+		t.Error("no error for a gap")
 	}
 	if _, err := decodeResults([]rowstore.Row{row(4)}, 3); err == nil {
-		t.Error("a missing first position was not seen")
+		t.Error("no error for a missing first position")
 	}
 }
 
 func TestStartOrderIsLongestFirst(t *testing.T) {
 	items := []Item{{LengthHint: 5}, {LengthHint: 50}, {}, {LengthHint: 50}}
 	if got := startOrder(items); !reflect.DeepEqual(got, []int{1, 3, 0, 2}) {
-		t.Errorf("order %v", got)
+		t.Errorf("startOrder = %v, want [1 3 0 2]", got)
 	}
 }
 
-func TestPageIsBounded(t *testing.T) {
+func TestTrimPage(t *testing.T) {
 	long := Result{Text: string(make([]byte, pageBytes))}
 	if got := trimPage([]Result{long, long}); len(got) != 1 {
-		t.Errorf("%d results on a page", len(got))
+		t.Errorf("trimPage returned %d long results, want 1", len(got))
 	}
 	if got := trimPage([]Result{{}, {}}); len(got) != 2 {
-		t.Errorf("%d results on a page", len(got))
+		t.Errorf("trimPage returned %d short results, want 2", len(got))
 	}
 }
