--- a/internal/gatewaynode/batch/demand.go
+++ b/internal/gatewaynode/batch/demand.go
@@ -23,8 +23,8 @@
 	return demand
 }
 
-// Widths returns, for each model, the largest number of items that a single recent job needs
-// to run concurrently.
+// Widths returns, for each model, the largest width of a recent job, which is the number of its
+// items to run concurrently.
 func (m *Manager) Widths() map[string]int {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/gatewaynode/batch/order.go
+++ b/internal/gatewaynode/batch/order.go
@@ -28,12 +28,12 @@
 	if len(j.order) == 0 {
 		return
 	}
-	hint := func(place int) int { return j.spec.Items[j.order[place]].LengthHint }
-	for place := range int(longShare * float64(len(j.order))) {
-		j.items[j.order[place]].long = hint(place) > 0
+	hint := func(position int) int { return j.spec.Items[j.order[position]].LengthHint }
+	for position := range int(longShare * float64(len(j.order))) {
+		j.items[j.order[position]].long = hint(position) > 0
 	}
 	first := int((1 - shortShare) * float64(len(j.order)))
-	for place := first; place < len(j.order); place++ {
-		j.items[j.order[place]].short = hint(place) < hint(0)/2
+	for position := first; position < len(j.order); position++ {
+		j.items[j.order[position]].short = hint(position) < hint(0)/2
 	}
 }
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -248,13 +248,13 @@
 	if pool.full[want] {
 		return
 	}
-	place := pickBackend(pool.backends, want, pool.typical, p.world)
-	if place < 0 {
+	chosen := pickBackend(pool.backends, want, pool.typical, p.world)
+	if chosen < 0 {
 		pool.full[want] = true
 		r.noteHeld(c, pool, want, p)
 		return
 	}
-	b := &pool.backends[place]
+	b := &pool.backends[chosen]
 	slow := pace(b, pool.typical, p.now)
 	if float64(slow) > moveRatio*float64(pool.typical) {
 		events := r.lengths.expected(c.job.spec.Items[c.index].LengthHint) - float64(len(item.text.events))
@@ -280,12 +280,12 @@
 // r.mu.
 func (r *runner) goToTarget(c candidate, pool *pool, want need, p *pools) bool {
 	item := &c.job.items[c.index]
-	place := slices.IndexFunc(pool.backends, func(b fleet.Backend) bool { return b.ID == item.target })
+	chosen := slices.IndexFunc(pool.backends, func(b fleet.Backend) bool { return b.ID == item.target })
 	item.target = ""
-	if place < 0 {
+	if chosen < 0 {
 		return false
 	}
-	b := &pool.backends[place]
+	b := &pool.backends[chosen]
 	b.InFlight--
 	if !suits(b, want, p.world) {
 		return false
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -119,8 +119,8 @@
 		want.avoid = first.backend.ID
 	}
 	want.patient = state.sends == 0 && awaited(pool) && patientScore(p.demands[job].longest, usualPace, usualScore(pool), (now-state.since).Duration())
-	place := pickScorer(pool, want, p.world)
-	if place < 0 {
+	chosen := pickScorer(pool, want, p.world)
+	if chosen < 0 {
 		return
 	}
 	if len(state.calls) > 0 {
@@ -128,9 +128,9 @@
 	} else {
 		r.seconds.add()
 	}
-	p.give(&pool[place])
-	takeIdle(&pool[place])
-	r.call(job, index, route, pool[place], now, request)
+	p.give(&pool[chosen])
+	takeIdle(&pool[chosen])
+	r.call(job, index, route, pool[chosen], now, request)
 }
 
 // scoreRequest returns the request by which eligibility is decided for a scoring call. The
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -9,8 +9,8 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// Parameters of the calls to scoring services. Latencies are those of the service, targets the
-// latency target of the route.
+// Parameters of the calls to scoring services. Latencies are scoring latencies of the backends,
+// targets are the latency targets of the routes.
 const (
 	// scoreCallsMost is the maximum number of concurrent calls for one item.
 	scoreCallsMost = 2
