--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -155,7 +155,7 @@
 
 // needsHeads reports whether this node uses the heads or may take over jobs.
 func (m *Manager) needsHeads() bool {
-	return m.usesHeads() || m.Keeps(time.Now())
+	return m.usesHeads() || m.IsKeeper(time.Now())
 }
 
 // rest returns the maximum delay before the view retries a failed read. It is 0 for
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -88,14 +88,14 @@
 	return sets
 }
 
-// Keeps reports whether this node is one of those that take over jobs of nodes that are gone.
-func (m *Manager) Keeps(now time.Time) bool {
+// IsKeeper reports whether this node is one of those that take over jobs of nodes that are gone.
+func (m *Manager) IsKeeper(now time.Time) bool {
 	return m.config.Presence.SelfKeepsWithin(m.confinements.of(m.config.Routes()), now)
 }
 
-// JobsWaiting returns the number of unfinished jobs that no node can run at present, because
+// JobsWaitingForRegion returns the number of unfinished jobs that no node can run at present, because
 // there is none in a region in which they are allowed.
-func (m *Manager) JobsWaiting() int {
+func (m *Manager) JobsWaitingForRegion() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	count := 0
--- a/internal/gatewaynode/gatewaymetrics/gatewaymetrics.go
+++ b/internal/gatewaynode/gatewaymetrics/gatewaymetrics.go
@@ -138,7 +138,7 @@
 	gauge("jobs_owned", "Batch jobs that this node runs.", func() float64 { jobs, _ := node.Jobs().Running(); return float64(jobs) })
 	gauge("items_running", "Items of batch jobs that run at back ends.", func() float64 { _, items := node.Jobs().Running(); return float64(items) })
 	gauge("texts_waiting", "Whole texts of batch jobs that wait for their score.", func() float64 { return float64(node.Jobs().WaitingForScore()) })
-	gauge("jobs_waiting_for_region", "Batch jobs that no node may run: none stands in their regions.", func() float64 { return float64(node.Jobs().JobsWaiting()) })
+	gauge("jobs_waiting_for_region", "Batch jobs that no node may run: none stands in their regions.", func() float64 { return float64(node.Jobs().JobsWaitingForRegion()) })
 	gauge("backends_suspended", "Back ends that this node leaves alone for a while.", func() float64 { return float64(node.Suspended()) })
 	gauge("machine_away_seconds", "Time for which the machine was suspended since the start.", func() float64 { return node.Away().Seconds() })
 	gauge("works_quarantined", "Works that no back end is to run: several ended under them.", func() float64 { held, _ := node.Quarantine().HeldCount(); return float64(held) })
--- a/internal/gatewaynode/storenode/digest.go
+++ b/internal/gatewaynode/storenode/digest.go
@@ -61,7 +61,7 @@
 		// It does not know yet.
 		return false
 	}
-	return n.presence.Size() <= directMost || n.jobs.Keeps(now) || n.jobs.OwnsJobs() || n.controller.Near()
+	return n.presence.Size() <= directMost || n.jobs.IsKeeper(now) || n.jobs.OwnsJobs() || n.controller.Near()
 }
 
 // digestFrom returns from which revision on this node wants the digest, if it does: once the
