--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -74,13 +74,13 @@
 	if ends := w.HeldEnds(r.Work); ends > 0 {
 		return Quarantined{Ends: ends}
 	}
-	if reason := w.standing(b, r); reason != nil {
+	if reason := w.checkBackend(b, r); reason != nil {
 		return reason
 	}
-	if reason := holds(b, r); reason != nil {
+	if reason := checkModel(b, r); reason != nil {
 		return reason
 	}
-	return w.cold(b, r)
+	return w.checkCold(b, r)
 }
 
 // HeldEnds returns how many back ends terminated while they ran a quarantined request, 0 if
@@ -95,9 +95,9 @@
 // May reports whether a back end may get a request.
 func (w *World) May(b *fleet.Backend, r Request) bool { return w.Decide(b, r) == nil }
 
-// cold checks the rate limit of a cold back end. Warm requests are refused even below the
+// checkCold checks the rate limit of a cold back end. Warm requests are refused even below the
 // limit.
-func (w *World) cold(b *fleet.Backend, r Request) Reason {
+func (w *World) checkCold(b *fleet.Backend, r Request) Reason {
 	left := b.ColdUntil.Sub(w.Now)
 	if left <= 0 || w.Turns == nil {
 		return nil
@@ -109,8 +109,8 @@
 	return Cold{Left: left}
 }
 
-// standing checks everything that does not depend on the models of a back end.
-func (w *World) standing(b *fleet.Backend, r Request) Reason {
+// checkBackend checks everything that does not depend on the models of a back end.
+func (w *World) checkBackend(b *fleet.Backend, r Request) Reason {
 	if b.Draining {
 		return Draining{}
 	}
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// holds checks the model and its version. A back end without known models passes unless
+// checkModel checks the model and its version. A back end without known models passes unless
 // Weights is set.
-func holds(b *fleet.Backend, r Request) Reason {
+func checkModel(b *fleet.Backend, r Request) Reason {
 	if r.Model == "" {
 		return nil
 	}
--- a/internal/gatewaynode/fingerprint/fingerprint.go
+++ b/internal/gatewaynode/fingerprint/fingerprint.go
@@ -35,17 +35,17 @@
 	return hex.EncodeToString(f[:])
 }
 
-// errForm is returned by Parse for a malformed fingerprint.
-var errForm = errors.New("fingerprint: want 32 hexadecimal digits")
+// errMalformed is returned by Parse for a malformed fingerprint.
+var errMalformed = errors.New("fingerprint: want 32 hexadecimal digits")
 
 // Parse parses a fingerprint formatted by String. It rejects the empty string.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != size {
-		return f, errForm
+		return f, errMalformed
 	}
 	if _, err := hex.Decode(f[:], []byte(text)); err != nil {
-		return Fingerprint{}, errForm
+		return Fingerprint{}, errMalformed
 	}
 	return f, nil
 }
--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -142,9 +142,9 @@
 // Suspended reports whether the back end is suspended after failures.
 func (b Backend) Suspended(now time.Time) bool { return now.Before(b.SuspendedUntil) }
 
-// slowdownFades is the time constant of the exponential decay of a reported slowdown. It is
+// slowdownDecay is the time constant of the exponential decay of a reported slowdown. It is
 // short because the load of other processes on a machine changes several times a second.
-const slowdownFades = 500 * time.Millisecond
+const slowdownDecay = 500 * time.Millisecond
 
 // SlowNow returns the slowdown expected now: the reported one, decaying towards 1 with its
 // age, or 1 if none is reported.
@@ -153,7 +153,7 @@
 		return 1
 	}
 	age := max(now.Sub(b.LoadAt), 0)
-	return 1 + (b.Slowdown-1)*math.Exp(-float64(age)/float64(slowdownFades))
+	return 1 + (b.Slowdown-1)*math.Exp(-float64(age)/float64(slowdownDecay))
 }
 
 // Load returns the fraction of the back end's slots that this node believes to be in use.
@@ -176,8 +176,8 @@
 	models map[string]int64
 }
 
-// merge recomputes models. The fleet's lock is held.
-func (e *entry) merge() {
+// mergeModels recomputes models. The fleet's lock is held.
+func (e *entry) mergeModels() {
 	if len(e.loaded) == 0 {
 		e.models = e.instance.Models
 		return
@@ -253,21 +253,21 @@
 	if held == nil {
 		held = &entry{}
 		f.instances[instance.ID] = held
-		f.enlist(held, instance)
+		f.addToService(held, instance)
 	}
 	if newer := instance.Revision > held.instance.Revision; newer && instance.Cold > 0 {
 		held.condition.ColdUntil = later(held.condition.ColdUntil, time.Now().Add(instance.Cold))
 	}
 	if held.instance.Born != 0 && instance.Born != 0 && held.instance.Born != instance.Born {
-		held.startAnew()
+		held.reset()
 	}
 	held.instance = instance
-	held.merge()
+	held.mergeModels()
 }
 
-// startAnew resets the state of an instance that restarted. The requests of this node that
+// reset clears the state of an instance that restarted. The requests of this node that
 // are in flight stay counted until their callers end them.
-func (e *entry) startAnew() {
+func (e *entry) reset() {
 	e.loaded = nil
 	e.condition = Condition{InFlight: e.condition.InFlight, Share: e.condition.Share, ColdUntil: e.condition.ColdUntil}
 }
@@ -279,8 +279,8 @@
 	return b
 }
 
-// enlist inserts an entry into the list of its service. The lock is held.
-func (f *Fleet) enlist(e *entry, instance Instance) {
+// addToService inserts an entry into the list of its service. The lock is held.
+func (f *Fleet) addToService(e *entry, instance Instance) {
 	list := f.services[instance.Service]
 	place, _ := slices.BinarySearchFunc(list, instance.ID, byID)
 	f.services[instance.Service] = slices.Insert(list, place, e)
@@ -311,7 +311,7 @@
 			held.loaded = make(map[string]int64)
 		}
 		held.loaded[model] = max(held.loaded[model], version)
-		held.merge()
+		held.mergeModels()
 	}
 	f.mu.Unlock()
 	f.changed()
--- a/internal/gatewaynode/fleet/fleet_test.go
+++ b/internal/gatewaynode/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 	fleet := New(nil)
 	fleet.Update([]Instance{instance("a", 1, false)}, nil)
 	now := now
-	for i, want := range []time.Duration{suspendFirst, 2 * suspendFirst, 4 * suspendFirst} {
+	for i, want := range []time.Duration{minSuspension, 2 * minSuspension, 4 * minSuspension} {
 		fleet.ObserveFailure("a", "x", now)
 		if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != want {
 			t.Fatalf("failure %d: suspended for %s, want %s", i+1, got.SuspendedUntil.Sub(now), want)
@@ -54,18 +54,18 @@
 	for range 100 {
 		fleet.ObserveFailure("a", "x", now)
 	}
-	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != suspendFirst {
-		t.Fatalf("suspended for %s after concurrent failures, want %s", got.SuspendedUntil.Sub(now), suspendFirst)
+	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != minSuspension {
+		t.Fatalf("suspended for %s after concurrent failures, want %s", got.SuspendedUntil.Sub(now), minSuspension)
 	}
-	now = now.Add(suspendFirst)
+	now = now.Add(minSuspension)
 	fleet.ObserveFailure("a", "x", now)
-	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != suspendMost {
-		t.Fatalf("suspended for %s, want %s", got.SuspendedUntil.Sub(now), suspendMost)
+	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != maxSuspension {
+		t.Fatalf("suspended for %s, want %s", got.SuspendedUntil.Sub(now), maxSuspension)
 	}
-	now = now.Add(suspendMost)
+	now = now.Add(maxSuspension)
 	fleet.ObserveLatency("a", time.Millisecond)
 	fleet.ObserveFailure("a", "x", now)
-	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != suspendFirst {
+	if got, _ := fleet.Get("a", now); got.SuspendedUntil.Sub(now) != minSuspension {
 		t.Fatal("a success did not reset the count of failures")
 	}
 }
--- a/internal/gatewaynode/fleet/observe.go
+++ b/internal/gatewaynode/fleet/observe.go
@@ -5,10 +5,10 @@
 const (
 	// smoothing is the weight of a new measurement in the averages of latencies.
 	smoothing = 0.3
-	// suspendFirst and suspendMost are the shortest and the longest suspension after
+	// minSuspension and maxSuspension are the shortest and the longest suspension after
 	// consecutive failures.
-	suspendFirst = 250 * time.Millisecond
-	suspendMost  = 4 * time.Second
+	minSuspension = 250 * time.Millisecond
+	maxSuspension = 4 * time.Second
 )
 
 // Load is the load that a back end reports in an answer.
@@ -90,12 +90,12 @@
 	if old == 0 || since >= window {
 		return gap
 	}
-	weight := max(float64(since)/float64(window), paceLeast*float64(paceWindow)/float64(window))
+	weight := max(float64(since)/float64(window), minPaceWeight*float64(paceWindow)/float64(window))
 	return old + time.Duration(weight*float64(gap-old))
 }
 
-// paceLeast is the minimum weight of a measurement in an average over paceWindow.
-const paceLeast = 0.005
+// minPaceWeight is the minimum weight of a measurement in an average over paceWindow.
+const minPaceWeight = 0.005
 
 // ObserveFailure records a failure and suspends the instance for a time that doubles with
 // each consecutive failure. A failure during a suspension is counted but does not extend it:
@@ -107,7 +107,7 @@
 		if now.Before(c.SuspendedUntil) {
 			return
 		}
-		pause := min(suspendFirst<<min(c.Failures-1, 8), suspendMost)
+		pause := min(minSuspension<<min(c.Failures-1, 8), maxSuspension)
 		c.SuspendedUntil = now.Add(pause)
 		c.SuspendReason = reason
 	})
--- a/internal/gatewaynode/place/distance.go
+++ b/internal/gatewaynode/place/distance.go
@@ -18,9 +18,9 @@
 
 // Distances assumed where no recent measurement exists.
 const (
-	priorZone   Distance = 0
-	priorRegion Distance = 2
-	priorFar    Distance = 20
+	defaultSameZone    Distance = 0
+	defaultSameRegion  Distance = 2
+	defaultOtherRegion Distance = 20
 )
 
 // Prior returns the distance assumed between two places without a measurement. An unknown
@@ -28,21 +28,21 @@
 func Prior(a, b Place) Distance {
 	switch {
 	case a.Zone == b.Zone:
-		return priorZone
+		return defaultSameZone
 	case a.Region == b.Region || a.Region == "" || b.Region == "":
-		return priorRegion
+		return defaultSameRegion
 	}
-	return priorFar
+	return defaultOtherRegion
 }
 
 const (
-	// measuredMost is how long a measurement is used. Afterwards the default applies again,
+	// measurementTTL is how long a measurement is used. Afterwards the default applies again,
 	// so that a zone that looked distant once is tried again.
-	measuredMost = time.Minute
-	// measuredRise is the weight of a measurement above the current estimate. A busy back
+	measurementTTL = time.Minute
+	// riseWeight is the weight of a measurement above the current estimate. A busy back
 	// end accepts connections late, so that a connect time is an upper bound of the round
 	// trip; lower measurements replace the estimate at once.
-	measuredRise = 0.1
+	riseWeight = 0.1
 )
 
 // Distances estimates the distance from a node to each zone from the connect times of its
@@ -75,8 +75,8 @@
 	defer d.mu.Unlock()
 	before, known := d.measured[zone]
 	distance := DistanceOf(took)
-	if known && now.Sub(before.at) <= measuredMost && distance > before.distance {
-		distance = before.distance + measuredRise*(distance-before.distance)
+	if known && now.Sub(before.at) <= measurementTTL && distance > before.distance {
+		distance = before.distance + riseWeight*(distance-before.distance)
 	}
 	d.measured[zone] = measurement{distance: distance, at: now}
 }
@@ -87,7 +87,7 @@
 	defer d.mu.Unlock()
 	view := View{own: d.own, zones: d.zones, measured: make(map[string]Distance, len(d.measured))}
 	for zone, m := range d.measured {
-		if now.Sub(m.at) <= measuredMost {
+		if now.Sub(m.at) <= measurementTTL {
 			view.measured[zone] = m.distance
 		}
 	}
@@ -106,7 +106,7 @@
 // is mostly processing at the two ends.
 func (v View) To(zone string) Distance {
 	if zone == v.own.Zone {
-		return priorZone
+		return defaultSameZone
 	}
 	if measured, known := v.measured[zone]; known {
 		return measured
--- a/internal/gatewaynode/place/distance_test.go
+++ b/internal/gatewaynode/place/distance_test.go
@@ -15,11 +15,11 @@
 		want    Distance
 	}{
 		{"own zone", nil, "a", 0},
-		{"another zone of the region", nil, "b", priorRegion},
-		{"another region", nil, "c", priorFar},
-		{"unknown zone", nil, "x", priorRegion},
+		{"another zone of the region", nil, "b", defaultSameRegion},
+		{"another region", nil, "c", defaultOtherRegion},
+		{"unknown zone", nil, "x", defaultSameRegion},
 		{"measurement overrides the default", func(d *Distances) { d.Observe("c", 25*time.Millisecond, start) }, "c", 25},
-		{"measurement of an unknown zone is ignored", func(d *Distances) { d.Observe("x", time.Second, start) }, "x", priorRegion},
+		{"measurement of an unknown zone is ignored", func(d *Distances) { d.Observe("x", time.Second, start) }, "x", defaultSameRegion},
 		{"slow connect raises the estimate a little", func(d *Distances) {
 			d.Observe("c", 20*time.Millisecond, start)
 			d.Observe("c", 120*time.Millisecond, start)
@@ -28,9 +28,9 @@
 			d.Observe("c", 120*time.Millisecond, start)
 			d.Observe("c", 20*time.Millisecond, start)
 		}, "c", 20},
-		{"expired measurement is ignored", func(d *Distances) { d.Observe("c", 200*time.Millisecond, start.Add(-2*measuredMost)) }, "c", priorFar},
+		{"expired measurement is ignored", func(d *Distances) { d.Observe("c", 200*time.Millisecond, start.Add(-2*measurementTTL)) }, "c", defaultOtherRegion},
 		{"expired measurement is not averaged in", func(d *Distances) {
-			d.Observe("c", 20*time.Millisecond, start.Add(-2*measuredMost))
+			d.Observe("c", 20*time.Millisecond, start.Add(-2*measurementTTL))
 			d.Observe("c", 60*time.Millisecond, start)
 		}, "c", 60},
 	} {
--- a/internal/gatewaynode/place/place.go
+++ b/internal/gatewaynode/place/place.go
@@ -30,8 +30,8 @@
 // Regions is the set of regions in which a request may be served and its data cached and
 // stored. The zero value contains every region. Values can be compared with ==.
 type Regions struct {
-	// bound is false if the set contains every region.
-	bound bool
+	// restricted is false if the set contains every region.
+	restricted bool
 	// names lists the names sorted and without duplicates, with a separator before, between
 	// and after them; it is empty if there are none.
 	names string
@@ -45,48 +45,48 @@
 	if len(names) == 0 {
 		return Regions{}
 	}
-	return only(names)
+	return restrictedTo(names)
 }
 
-// only returns the set of the named regions, which is empty if there are no names.
-func only(names []string) Regions {
+// restrictedTo returns the set of the named regions, which is empty if there are no names.
+func restrictedTo(names []string) Regions {
 	if len(names) == 0 {
-		return Regions{bound: true}
+		return Regions{restricted: true}
 	}
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
-	return Regions{bound: true, names: separator + strings.Join(slices.Compact(sorted), separator) + separator}
+	return Regions{restricted: true, names: separator + strings.Join(slices.Compact(sorted), separator) + separator}
 }
 
 // Everywhere reports whether r contains every region.
-func (r Regions) Everywhere() bool { return !r.bound }
+func (r Regions) Everywhere() bool { return !r.restricted }
 
 // Nowhere reports whether r contains no region.
-func (r Regions) Nowhere() bool { return r.bound && r.names == "" }
+func (r Regions) Nowhere() bool { return r.restricted && r.names == "" }
 
 // Has reports whether r contains a region. The empty name, which stands for an unknown
 // region, is contained only in the set of every region.
 func (r Regions) Has(region string) bool {
-	return !r.bound || region != "" && strings.Contains(r.names, separator+region+separator)
+	return !r.restricted || region != "" && strings.Contains(r.names, separator+region+separator)
 }
 
 // And returns the intersection of r and other.
 func (r Regions) And(other Regions) Regions {
 	switch {
-	case !r.bound:
+	case !r.restricted:
 		return other
-	case !other.bound:
+	case !other.restricted:
 		return r
 	}
-	return only(slices.DeleteFunc(r.Names(), func(name string) bool { return !other.Has(name) }))
+	return restrictedTo(slices.DeleteFunc(r.Names(), func(name string) bool { return !other.Has(name) }))
 }
 
 // Or returns the union of r and other.
 func (r Regions) Or(other Regions) Regions {
-	if !r.bound || !other.bound {
+	if !r.restricted || !other.restricted {
 		return Regions{}
 	}
-	return only(append(r.Names(), other.Names()...))
+	return restrictedTo(append(r.Names(), other.Names()...))
 }
 
 // Names returns the names in sorted order, nil if r contains every region or none.
@@ -100,7 +100,7 @@
 
 // String returns the names separated by commas, or "all" if r contains every region.
 func (r Regions) String() string {
-	if !r.bound {
+	if !r.restricted {
 		return "all"
 	}
 	return strings.Trim(r.names, separator)
