--- a/internal/gatewaynode/batch/demand.go
+++ b/internal/gatewaynode/batch/demand.go
@@ -51,12 +51,12 @@
 		}
 		own := m.regionsOf(state.head)
 		if before, found := regions[state.head.Model]; found {
-			own = own.Or(before)
+			own = own.Union(before)
 		}
 		regions[state.head.Model] = own
 	}
 	for model := range regions {
-		if regions[model].Everywhere() {
+		if regions[model].IsAll() {
 			delete(regions, model)
 		}
 	}
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -38,7 +38,7 @@
 	// Routes returns the configuration in force, nil while there is none.
 	Routes func() *routetable.Table
 	// WorkOf returns the fingerprint of a request.
-	WorkOf func(fingerprint.Work) fingerprint.Fingerprint
+	WorkOf func(fingerprint.Input) fingerprint.Fingerprint
 	// Trials grants trial runs of quarantined items.
 	Trials Trials
 	// VersionField is the name of the event field that carries the weight version.
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -43,7 +43,7 @@
 	}
 	route := table.ByName(head.Route)
 	if route == nil {
-		return accepted.And(table.RegionsOf(nil, head.Tenant))
+		return accepted.Intersect(table.RegionsOf(nil, head.Tenant))
 	}
 	return table.RegionsOf(route, head.Tenant)
 }
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -331,9 +331,9 @@
 	items, scores = make([]fingerprint.Fingerprint, len(spec.Items)), make([]fingerprint.Fingerprint, len(spec.Items))
 	for i := range spec.Items {
 		item := &spec.Items[i]
-		items[i] = r.manager.config.WorkOf(fingerprint.Work{Host: spec.Host, Target: item.Path, Tenant: job.tenant, Body: item.Body})
+		items[i] = r.manager.config.WorkOf(fingerprint.Input{Host: spec.Host, Target: item.Path, Tenant: job.tenant, Body: item.Body})
 		if s := item.Scorer; s != nil {
-			scores[i] = r.manager.config.WorkOf(fingerprint.Work{Host: s.Host, Target: s.Path, Tenant: job.tenant, Body: s.Body})
+			scores[i] = r.manager.config.WorkOf(fingerprint.Input{Host: s.Host, Target: s.Path, Tenant: job.tenant, Body: s.Body})
 		}
 	}
 	return items, scores
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -78,7 +78,7 @@
 	}
 	head.Width = width(spec.Items)
 	regions := m.regionsOf(head)
-	if regions.Nowhere() {
+	if regions.IsEmpty() {
 		return head, NoRegion
 	}
 	head.Regions = regions.Names()
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -39,7 +39,7 @@
 		{"allowed region", nil, World{}, Request{Regions: place.NewRegions("north")}, nil},
 		{"another region", nil, World{}, Request{Regions: place.NewRegions("south")}, OtherRegion{Region: "north", Allowed: "south"}},
 		{"unknown region", func(b *fleet.Backend) { b.Zone = "x" }, World{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
-		{"no allowed region", nil, World{}, Request{Regions: place.NewRegions("north").And(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
+		{"no allowed region", nil, World{}, Request{Regions: place.NewRegions("north").Intersect(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
 		{"evacuations out of date, request of a job", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Patient: true}, BeliefsOld{Age: 6 * time.Second}},
 		{"evacuations out of date, live request", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
 		{"evacuations out of date, no limit", nil, World{Age: 6 * time.Second}, Request{Patient: true}, nil},
--- a/internal/gatewaynode/fingerprint/fingerprint.go
+++ b/internal/gatewaynode/fingerprint/fingerprint.go
@@ -50,8 +50,8 @@
 	return f, nil
 }
 
-// Work holds the parts of a request that its fingerprint covers.
-type Work struct {
+// Input holds the parts of a request that its fingerprint covers.
+type Input struct {
 	Host, Target string
 	// Tenant is the caller, empty if callers are not distinguished.
 	Tenant string
@@ -71,7 +71,7 @@
 
 // Of returns the fingerprint of work. Each part before the body is prefixed with its
 // length, so that moving bytes between parts changes the fingerprint.
-func (k *Key) Of(work Work) Fingerprint {
+func (k *Key) Of(work Input) Fingerprint {
 	mac := hmac.New(sha256.New, k[:])
 	for _, part := range []string{work.Host, work.Target, work.Tenant} {
 		var length [8]byte
--- a/internal/gatewaynode/fingerprint/fingerprint_test.go
+++ b/internal/gatewaynode/fingerprint/fingerprint_test.go
@@ -10,13 +10,13 @@
 
 func TestFingerprintCoversHostTargetTenantAndBody(t *testing.T) {
 	key := fingerprint.NewKey()
-	base := fingerprint.Work{Host: "h", Target: "/a/b", Tenant: "t", Body: []byte("body")}
+	base := fingerprint.Input{Host: "h", Target: "/a/b", Tenant: "t", Body: []byte("body")}
 	copied := base
 	copied.Body = bytes.Clone(base.Body)
 	if key.Of(base) != key.Of(copied) {
 		t.Fatal("equal requests have different fingerprints")
 	}
-	others := map[string]fingerprint.Work{
+	others := map[string]fingerprint.Input{
 		"host":       {Host: "i", Target: "/a/b", Tenant: "t", Body: []byte("body")},
 		"target":     {Host: "h", Target: "/a/c", Tenant: "t", Body: []byte("body")},
 		"tenant":     {Host: "h", Target: "/a/b", Tenant: "u", Body: []byte("body")},
@@ -35,7 +35,7 @@
 
 func TestParseAcceptsOnlyOutputOfString(t *testing.T) {
 	key := fingerprint.NewKey()
-	want := key.Of(fingerprint.Work{Body: []byte("x")})
+	want := key.Of(fingerprint.Input{Body: []byte("x")})
 	got, err := fingerprint.Parse(want.String())
 	if err != nil || got != want {
 		t.Errorf("Parse(%s) = %s, %v", want, got, err)
@@ -56,7 +56,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.SetBytes(int64(size))
 			for b.Loop() {
-				key.Of(fingerprint.Work{Host: "host.example", Target: "/prefix/0123456789", Tenant: "tenant", Body: body})
+				key.Of(fingerprint.Input{Host: "host.example", Target: "/prefix/0123456789", Tenant: "tenant", Body: body})
 			}
 		})
 	}
--- a/internal/gatewaynode/forward/eligible.go
+++ b/internal/gatewaynode/forward/eligible.go
@@ -24,7 +24,7 @@
 	if t.forwarder.config.Regions == nil {
 		return t.request.Regions
 	}
-	return t.request.Regions.And(t.forwarder.config.Regions(t.route.Name, t.request.Tenant))
+	return t.request.Regions.Intersect(t.forwarder.config.Regions(t.route.Name, t.request.Tenant))
 }
 
 // noteWithheld takes note of an attempt that this node kept back: that says nothing of
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -105,7 +105,7 @@
 	// route to be served; nil allows every region.
 	Regions func(route, tenant string) place.Regions
 	// WorkOf returns the fingerprint of a request; nil follows none.
-	WorkOf func(fingerprint.Work) fingerprint.Fingerprint
+	WorkOf func(fingerprint.Input) fingerprint.Fingerprint
 	// Trials gives quarantined requests out for a trial; it is nil if WorkOf is.
 	Trials Trials
 	// Observe is told how each request ended; it may be nil.
@@ -197,7 +197,7 @@
 	if f.config.WorkOf == nil {
 		return fingerprint.Fingerprint{}
 	}
-	return f.config.WorkOf(fingerprint.Work{Host: request.Host, Target: request.Target, Tenant: request.Tenant, Body: request.Body})
+	return f.config.WorkOf(fingerprint.Input{Host: request.Host, Target: request.Target, Tenant: request.Tenant, Body: request.Body})
 }
 
 func (f *Forwarder) note(t *try, report Report, configVersion int64) {
--- a/internal/gatewaynode/forward/regions_test.go
+++ b/internal/gatewaynode/forward/regions_test.go
@@ -20,7 +20,7 @@
 		attempts int
 	}{
 		{"bound to another region", place.NewRegions("south"), 1},
-		{"bound to no region that route and tenant share", place.NewRegions("south").And(place.NewRegions("north")), 1},
+		{"bound to no region that route and tenant share", place.NewRegions("south").Intersect(place.NewRegions("north")), 1},
 		{"not bound", place.Regions{}, 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/gatewaynode/place/distance.go
+++ b/internal/gatewaynode/place/distance.go
@@ -23,9 +23,9 @@
 	defaultOtherRegion Distance = 20
 )
 
-// Prior returns the distance assumed between two places without a measurement. An unknown
+// DefaultDistance returns the distance assumed between two places without a measurement. An unknown
 // region counts as the same region.
-func Prior(a, b Place) Distance {
+func DefaultDistance(a, b Place) Distance {
 	switch {
 	case a.Zone == b.Zone:
 		return defaultSameZone
@@ -111,5 +111,5 @@
 	if measured, known := v.measured[zone]; known {
 		return measured
 	}
-	return Prior(v.own, v.zones.Of(zone))
+	return DefaultDistance(v.own, v.zones.Of(zone))
 }
--- a/internal/gatewaynode/place/place.go
+++ b/internal/gatewaynode/place/place.go
@@ -58,11 +58,11 @@
 	return Regions{restricted: true, names: separator + strings.Join(slices.Compact(sorted), separator) + separator}
 }
 
-// Everywhere reports whether r contains every region.
-func (r Regions) Everywhere() bool { return !r.restricted }
+// IsAll reports whether r contains every region.
+func (r Regions) IsAll() bool { return !r.restricted }
 
-// Nowhere reports whether r contains no region.
-func (r Regions) Nowhere() bool { return r.restricted && r.names == "" }
+// IsEmpty reports whether r contains no region.
+func (r Regions) IsEmpty() bool { return r.restricted && r.names == "" }
 
 // Has reports whether r contains a region. The empty name, which stands for an unknown
 // region, is contained only in the set of every region.
@@ -70,8 +70,8 @@
 	return !r.restricted || region != "" && strings.Contains(r.names, separator+region+separator)
 }
 
-// And returns the intersection of r and other.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the intersection of r and other.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case !r.restricted:
 		return other
@@ -81,8 +81,8 @@
 	return restrictedTo(slices.DeleteFunc(r.Names(), func(name string) bool { return !other.Has(name) }))
 }
 
-// Or returns the union of r and other.
-func (r Regions) Or(other Regions) Regions {
+// Union returns the union of r and other.
+func (r Regions) Union(other Regions) Regions {
 	if !r.restricted || !other.restricted {
 		return Regions{}
 	}
--- a/internal/gatewaynode/place/place_test.go
+++ b/internal/gatewaynode/place/place_test.go
@@ -4,7 +4,7 @@
 
 func TestRegions(t *testing.T) {
 	all, north, both := NewRegions(), NewRegions("north"), NewRegions("south", "north", "south")
-	none := north.And(NewRegions("south"))
+	none := north.Intersect(NewRegions("south"))
 	cases := []struct {
 		name    string
 		regions Regions
@@ -14,13 +14,13 @@
 		{"every region", all, true, "all"},
 		{"one region", north, true, "north"},
 		{"two regions", both, true, "north,south"},
-		{"every region and one", all.And(north), true, "north"},
-		{"one and every region", north.And(all), true, "north"},
-		{"intersection of two and one", both.And(north), true, "north"},
+		{"every region and one", all.Intersect(north), true, "north"},
+		{"one and every region", north.Intersect(all), true, "north"},
+		{"intersection of two and one", both.Intersect(north), true, "north"},
 		{"empty intersection", none, false, ""},
-		{"empty or one", none.Or(north), true, "north"},
-		{"empty or empty", none.Or(none), false, ""},
-		{"one or every region", north.Or(all), true, "all"},
+		{"empty or one", none.Union(north), true, "north"},
+		{"empty or empty", none.Union(none), false, ""},
+		{"one or every region", north.Union(all), true, "all"},
 	}
 	for _, test := range cases {
 		if got := test.regions.Has("north"); got != test.has || test.regions.String() != test.text {
--- a/internal/gatewaynode/presence/addresses.go
+++ b/internal/gatewaynode/presence/addresses.go
@@ -42,7 +42,7 @@
 	if len(around) >= minimumAddresses {
 		return around
 	}
-	if bounds.Any.Everywhere() {
+	if bounds.Any.IsAll() {
 		return live
 	}
 	allowed := bounds.Common
--- a/internal/gatewaynode/presence/members.go
+++ b/internal/gatewaynode/presence/members.go
@@ -72,7 +72,7 @@
 		keepers = Keepers(m.nodes)
 		m.kept[everywhere] = keepers
 	}
-	if regions.Everywhere() {
+	if regions.IsAll() {
 		return keepers
 	}
 	within, known := m.kept[regions]
--- a/internal/gatewaynode/presence/regions.go
+++ b/internal/gatewaynode/presence/regions.go
@@ -21,7 +21,7 @@
 
 // Within returns the nodes that stand in regions.
 func Within(nodes []Node, regions place.Regions) []Node {
-	if regions.Everywhere() {
+	if regions.IsAll() {
 		return nodes
 	}
 	return slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return !regions.Has(n.Region) })
@@ -30,7 +30,7 @@
 // KeepersWithin returns those of the nodes that own jobs which may live in regions
 // alone, and take them over. Nodes agree on them wherever they know the same nodes.
 func KeepersWithin(nodes []Node, regions place.Regions) []Node {
-	if regions.Everywhere() {
+	if regions.IsAll() {
 		return Keepers(nodes)
 	}
 	return keepersWithin(nodes, Keepers(nodes), regions)
--- a/internal/gatewaynode/presence/regions_test.go
+++ b/internal/gatewaynode/presence/regions_test.go
@@ -17,7 +17,7 @@
 		return Bounds{Common: common, Any: any, Strict: strict}
 	}
 	onlyB, bOrC, aOrB := place.NewRegions("b"), place.NewRegions("b", "c"), place.NewRegions("a", "b")
-	nowhere := onlyB.And(place.NewRegions("c"))
+	nowhere := onlyB.Intersect(place.NewRegions("c"))
 	for _, test := range []struct {
 		name         string
 		live         []Node
--- a/internal/gatewaynode/quarantine/key.go
+++ b/internal/gatewaynode/quarantine/key.go
@@ -15,7 +15,7 @@
 
 // Of returns the fingerprint of a request, or the zero value until the key has been read
 // from the store.
-func (b *Tracker) Of(work fingerprint.Work) fingerprint.Fingerprint {
+func (b *Tracker) Of(work fingerprint.Input) fingerprint.Fingerprint {
 	key := b.key.Load()
 	if key == nil {
 		return fingerprint.Fingerprint{}
--- a/internal/gatewaynode/relay/relay.go
+++ b/internal/gatewaynode/relay/relay.go
@@ -71,7 +71,7 @@
 	failure := &upstream.Error{Fate: upstream.NotSent, Cause: errNoPeer}
 	var refusal *upstream.Answer
 	peers := r.choose(regions)
-	if len(peers) == 0 && !regions.Everywhere() {
+	if len(peers) == 0 && !regions.IsAll() {
 		failure.Cause = errNoPeerWithin
 		r.noteWithheld(call, regions)
 	}
@@ -119,7 +119,7 @@
 		turned = append(turned, peers[(i+turn)%len(peers)])
 	}
 	slices.SortStableFunc(turned, func(a, b presence.Node) int {
-		return cmp.Compare(place.Prior(own, a.Place()), place.Prior(own, b.Place()))
+		return cmp.Compare(place.DefaultDistance(own, a.Place()), place.DefaultDistance(own, b.Place()))
 	})
 	return turned[:min(len(turned), triesMost)]
 }
--- a/internal/gatewaynode/reload/shares.go
+++ b/internal/gatewaynode/reload/shares.go
@@ -23,7 +23,7 @@
 }
 
 // bound tells whether a model may not be used everywhere.
-func (b bounds) bound(model string) bool { return !b.regions[model].Everywhere() }
+func (b bounds) bound(model string) bool { return !b.regions[model].IsAll() }
 
 // assignShares returns which model each back end is for, where several trained
 // models share a service: loads take turns, so that keeping every
@@ -107,8 +107,8 @@
 		}
 	}
 	ordered := slices.SortedFunc(maps.Keys(groups), func(a, b place.Regions) int {
-		if a.Everywhere() != b.Everywhere() {
-			if b.Everywhere() {
+		if a.IsAll() != b.IsAll() {
+			if b.IsAll() {
 				return -1
 			}
 			return 1
@@ -131,7 +131,7 @@
 			available += count
 		}
 	}
-	if regions.Everywhere() {
+	if regions.IsAll() {
 		return available
 	}
 	taken := min(number, available)
--- a/internal/gatewaynode/routetable/regions.go
+++ b/internal/gatewaynode/routetable/regions.go
@@ -18,8 +18,8 @@
 			continue
 		}
 		for _, regions := range tenants {
-			both := t.Routes[i].Regions.And(regions)
-			if !both.Everywhere() && !both.Nowhere() && !slices.Contains(found, both) {
+			both := t.Routes[i].Regions.Intersect(regions)
+			if !both.IsAll() && !both.IsEmpty() && !slices.Contains(found, both) {
 				found = append(found, both)
 			}
 		}
@@ -41,17 +41,17 @@
 func (t *Table) HostRegions(host string) HostRegions {
 	found := HostRegions{Strict: true}
 	for _, route := range t.byHost[strings.ToLower(host)] {
-		if route.Regions.Everywhere() {
+		if route.Regions.IsAll() {
 			found.Strict = false
 			continue
 		}
-		if found.Any.Everywhere() {
+		if found.Any.IsAll() {
 			found.Common, found.Any = route.Regions, route.Regions
 			continue
 		}
-		found.Common, found.Any = found.Common.And(route.Regions), found.Any.Or(route.Regions)
+		found.Common, found.Any = found.Common.Intersect(route.Regions), found.Any.Union(route.Regions)
 	}
-	found.Strict = found.Strict && !found.Any.Everywhere()
+	found.Strict = found.Strict && !found.Any.IsAll()
 	return found
 }
 
@@ -61,7 +61,7 @@
 	regions := t.Tenants.Named(name).Regions
 	for _, route := range t.byHost[strings.ToLower(host)] {
 		if route.Kind == KindBatch {
-			regions = regions.And(route.Regions)
+			regions = regions.Intersect(route.Regions)
 		}
 	}
 	return regions
--- a/internal/gatewaynode/routetable/routetable.go
+++ b/internal/gatewaynode/routetable/routetable.go
@@ -142,7 +142,7 @@
 	if route != nil {
 		regions = route.Regions
 	}
-	return regions.And(t.Tenants.Named(name).Regions)
+	return regions.Intersect(t.Tenants.Named(name).Regions)
 }
 
 // ByName returns the route of that name, or nil.
--- a/internal/gatewaynode/storenode/coldshares.go
+++ b/internal/gatewaynode/storenode/coldshares.go
@@ -159,8 +159,8 @@
 func livesIn(table *routetable.Table, route *routetable.Route, region string) []place.Regions {
 	var found []place.Regions
 	for _, tenant := range append(table.Tenants.Regions(), place.Regions{}) {
-		both := route.Regions.And(tenant)
-		if !both.Nowhere() && (region == "" || both.Has(region)) && !slices.Contains(found, both) {
+		both := route.Regions.Intersect(tenant)
+		if !both.IsEmpty() && (region == "" || both.Has(region)) && !slices.Contains(found, both) {
 			found = append(found, both)
 		}
 	}
--- a/internal/gatewaynode/storenode/regions.go
+++ b/internal/gatewaynode/storenode/regions.go
@@ -46,7 +46,7 @@
 	}
 	name, sure := holderOf(table, key)
 	if !sure {
-		return n.ownRegion().And(table.RegionsOf(route, ""))
+		return n.ownRegion().Intersect(table.RegionsOf(route, ""))
 	}
 	return table.RegionsOf(route, name)
 }
@@ -63,7 +63,7 @@
 	}
 	name, sure := holderOf(table, key)
 	if !sure {
-		return n.ownRegion().And(table.HostJobRegions(host, ""))
+		return n.ownRegion().Intersect(table.HostJobRegions(host, ""))
 	}
 	return table.HostJobRegions(host, name)
 }
--- a/internal/gatewaynode/storerelay/detour.go
+++ b/internal/gatewaynode/storerelay/detour.go
@@ -267,7 +267,7 @@
 	peers = slices.DeleteFunc(slices.Clone(peers), func(n presence.Node) bool { return n.PeerAddress == "" })
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	slices.SortStableFunc(peers, func(a, b presence.Node) int {
-		return cmp.Or(cmp.Compare(place.Prior(own, a.Place()), place.Prior(own, b.Place())), cmp.Compare(b.Cores, a.Cores))
+		return cmp.Or(cmp.Compare(place.DefaultDistance(own, a.Place()), place.DefaultDistance(own, b.Place())), cmp.Compare(b.Cores, a.Cores))
 	})
 	return peers[:min(len(peers), triedNodes)]
 }
