--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -256,9 +256,9 @@
 	b.forget(s, true)
 }
 
-// Lift clears a work on all nodes at an operator's request and reports whether it was
+// Clear clears a work on all nodes at an operator's request and reports whether it was
 // suspected.
-func (b *Tracker) Lift(work fingerprint.Fingerprint) bool {
+func (b *Tracker) Clear(work fingerprint.Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[work]
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/book_test.go
@@ -105,11 +105,11 @@
 		row.Deleted = arg(d, "deleted", "") != ""
 		s.book.Apply([]rowstore.Row{row}, false)
 	case "told":
-		s.book.Told(Message([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, How: FailureRefused, Node: "n2"}}))
+		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, How: FailureRefused, Node: "n2"}}))
 	case "age":
 		s.book.age(time.Now())
 	case "lift":
-		return fmt.Sprintln(s.book.Lift(workOf(name))), nil
+		return fmt.Sprintln(s.book.Clear(workOf(name))), nil
 	case "try":
 		return fmt.Sprintln(s.book.Try(context.Background(), workOf(name))), nil
 	case "write":
@@ -183,7 +183,7 @@
 		s := newScene()
 		for i := range 2 * suspectsMost {
 			for e := range 1 + 2*((i+1)%2)*((i+2)/2%2) {
-				s.book.Told(Message([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), How: FailureRefused, Node: "n2"}}))
+				s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), How: FailureRefused, Node: "n2"}}))
 			}
 		}
 		held, suspected := s.book.HeldCount()
@@ -213,7 +213,7 @@
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
 			t.Error("the loss of a call that is not followed counts as evidence")
 		}
-		s.book.Told(Message([]Failure{{Work: workOf("w"), Backend: "b3", How: FailureRefused, Node: "n2"}}))
+		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf("w"), Backend: "b3", How: FailureRefused, Node: "n2"}}))
 		over().End(upstream.EndWhole, 200)
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
 			t.Error("the success of a call that is not followed does not clear its work")
--- a/internal/gatewaynode/quarantine/handler.go
+++ b/internal/gatewaynode/quarantine/handler.go
@@ -46,7 +46,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !b.Lift(work) {
+		if !b.Clear(work) {
 			http.Error(w, "work is not suspected", http.StatusNotFound)
 			return
 		}
--- a/internal/gatewaynode/quarantine/key.go
+++ b/internal/gatewaynode/quarantine/key.go
@@ -23,9 +23,9 @@
 	return key.Of(work)
 }
 
-// Known reports whether the fingerprint key is available. Without it a node cannot
+// HasKey reports whether the fingerprint key is available. Without it a node cannot
 // recognize quarantined requests and must not serve.
-func (b *Tracker) Known() bool { return b.key.Load() != nil }
+func (b *Tracker) HasKey() bool { return b.key.Load() != nil }
 
 // takeKey sets the fingerprint key to the value of its row.
 func (b *Tracker) takeKey(value []byte) {
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -137,8 +137,8 @@
 	row
 }
 
-// Message encodes failures for Told.
-func Message(ends []Failure) json.RawMessage {
+// EncodeFailures encodes failures for Told.
+func EncodeFailures(ends []Failure) json.RawMessage {
 	list := make([]message, 0, len(ends))
 	for _, end := range ends {
 		list = append(list, message{Key: string(keyOf(end)), row: rowValue(end)})
@@ -150,8 +150,8 @@
 	return encoded
 }
 
-// Told takes a Message from another node that could not write the failures to the store.
-func (b *Tracker) Told(encoded json.RawMessage) {
+// ReceiveFailures takes a Message from another node that could not write the failures to the store.
+func (b *Tracker) ReceiveFailures(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
 		b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Cause: err.Error()})
--- a/internal/gatewaynode/storenode/quarantine.go
+++ b/internal/gatewaynode/storenode/quarantine.go
@@ -29,15 +29,15 @@
 // tellEvidence tells other nodes of ends that could not be written to the store.
 func (n *Node) tellEvidence(ctx context.Context, ends []quarantine.Failure) {
 	if n.config.Tell != nil {
-		n.config.Tell(ctx, quarantine.Message(ends))
+		n.config.Tell(ctx, quarantine.EncodeFailures(ends))
 	}
 }
 
 // Told takes what another node told by Config.Tell.
-func (n *Node) Told(message json.RawMessage) { n.quarantine.Told(message) }
+func (n *Node) Told(message json.RawMessage) { n.quarantine.ReceiveFailures(message) }
 
 // knowsEvidence tells whether the node has read what it must not send on.
-func (n *Node) knowsEvidence() bool { return n.quarantine.Known() && n.evidenceLoaded() }
+func (n *Node) knowsEvidence() bool { return n.quarantine.HasKey() && n.evidenceLoaded() }
 
 // evidenceLoaded tells whether the evidence has been read whole. It is asked for each request:
 // a view's status would read the clocks for the view's age, which does not count here.
