--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -256,7 +256,7 @@
 	b.forget(s, true)
 }
 
-// Clear clears a work on all nodes at an operator's request and reports whether it was
+// Clear removes all failures of a work on all nodes at an operator's request and reports whether it was
 // suspected.
 func (b *Tracker) Clear(work fingerprint.Fingerprint) bool {
 	b.mu.Lock()
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -137,7 +137,7 @@
 	row
 }
 
-// EncodeFailures encodes failures for Told.
+// EncodeFailures encodes failures for ReceiveFailures.
 func EncodeFailures(ends []Failure) json.RawMessage {
 	list := make([]message, 0, len(ends))
 	for _, end := range ends {
@@ -150,7 +150,7 @@
 	return encoded
 }
 
-// ReceiveFailures takes a Message from another node that could not write the failures to the store.
+// ReceiveFailures takes encoded failures from another node that could not write the failures to the store.
 func (b *Tracker) ReceiveFailures(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
