--- a/internal/gatewaynode/batch/memory.go
+++ b/internal/gatewaynode/batch/memory.go
@@ -89,7 +89,7 @@
 	}
 	for i := range backends {
 		held, expected := used[backends[i].ID].tokens(service.EventTokens)
-		backends[i].Memory = fleet.Memory{Most: service.CacheTokens, Held: held, Expected: expected}
+		backends[i].Memory = fleet.Memory{Capacity: service.CacheTokens, Held: held, Expected: expected}
 	}
 }
 
@@ -110,14 +110,14 @@
 // memoryCost returns the cost factor of a backend for an item that is expected to occupy the
 // given number of tokens at its end. It is 1 while the memory suffices.
 func memoryCost(b *fleet.Backend, expected int) float64 {
-	return 1 + memorySlowdown*max(0, b.Memory.Crowded(expected)-memoryFree)
+	return 1 + memorySlowdown*max(0, b.Memory.ExpectedUtilization(expected)-memoryFree)
 }
 
 // hasMemory reports whether a backend has memory for a run that starts with held tokens. A
 // backend without other runs accepts any item, so that one larger than the memory of every
 // backend still starts.
 func hasMemory(b *fleet.Backend, held int) bool {
-	return b.Memory.Held == 0 || b.Memory.Full(held) <= memoryMost
+	return b.Memory.Held == 0 || b.Memory.Utilization(held) <= memoryMost
 }
 
 // takeMemory accounts for the memory of an item that was assigned to b.
--- a/internal/gatewaynode/batch/memory_test.go
+++ b/internal/gatewaynode/batch/memory_test.go
@@ -12,7 +12,7 @@
 func TestPlacementByMemory(t *testing.T) {
 	const most = 30000
 	holding := func(held, expected int) func(*fleet.Backend) {
-		return func(b *fleet.Backend) { b.Memory = fleet.Memory{Most: most, Held: held, Expected: expected} }
+		return func(b *fleet.Backend) { b.Memory = fleet.Memory{Capacity: most, Held: held, Expected: expected} }
 	}
 	for _, test := range []struct {
 		name   string
@@ -54,7 +54,7 @@
 // of memory or whose last request failed.
 func TestNoMoveToUnsuitableBackend(t *testing.T) {
 	slow := func(b *fleet.Backend) { b.Pace = 120 * time.Millisecond }
-	crowded := func(b *fleet.Backend) { b.Memory = fleet.Memory{Most: 30000, Held: 9000, Expected: 28000} }
+	crowded := func(b *fleet.Backend) { b.Memory = fleet.Memory{Capacity: 30000, Held: 9000, Expected: 28000} }
 	want := need{Request: weightsOf("m", 3), held: 4096, expected: 11264}
 	pool := []fleet.Backend{backend("slow", slow), backend("crowded", crowded)}
 	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeWorld); target >= 0 {
@@ -96,7 +96,7 @@
 	}
 	pool := []fleet.Backend{{Instance: fleet.Instance{ID: "b"}}, {Instance: fleet.Instance{ID: "c"}}}
 	fillMemory(pool, routetable.Service{CacheTokens: 30000, EventTokens: 75}, r.usages())
-	if pool[0].Memory.Held != 900+165*75 || pool[1].Memory.Held != 0 || pool[1].Memory.Most != 30000 {
+	if pool[0].Memory.Held != 900+165*75 || pool[1].Memory.Held != 0 || pool[1].Memory.Capacity != 30000 {
 		t.Errorf("unexpected memory: %+v", pool)
 	}
 }
--- a/internal/gatewaynode/batch/move.go
+++ b/internal/gatewaynode/batch/move.go
@@ -86,7 +86,7 @@
 	best := -1
 	for i := range pool {
 		b := &pool[i]
-		if b.Memory.Crowded(want.expected) > 1 || b.Failures > 0 || b.Cold(now) {
+		if b.Memory.ExpectedUtilization(want.expected) > 1 || b.Failures > 0 || b.Cold(now) {
 			continue
 		}
 		if b.Pace == 0 || now.Sub(b.PaceAt) > paceMemory || float64(slow) < ratio*float64(b.SettledPace()) {
--- a/internal/gatewaynode/batch/place.go
+++ b/internal/gatewaynode/batch/place.go
@@ -93,7 +93,7 @@
 	if backend.Reach.Idle == 0 {
 		cost *= 1 + want.opening()
 	}
-	if backend.Share != "" && backend.Share != want.Model {
+	if backend.AssignedModel != "" && backend.AssignedModel != want.Model {
 		cost *= 1 + foreignSlowdown
 	}
 	if backend.ID == want.avoid {
--- a/internal/gatewaynode/batch/place_test.go
+++ b/internal/gatewaynode/batch/place_test.go
@@ -56,8 +56,8 @@
 		{"short item does not prefer a slow backend", []fleet.Backend{backend("a", nil), backend("b", func(b *fleet.Backend) { b.Pace = 120 * time.Millisecond })}, need{Request: weightsOf("m", 0), short: true}, "a"},
 		{"short item probes a failed backend", []fleet.Backend{backend("a", func(b *fleet.Backend) { b.Failures = 1 }), backend("b", func(b *fleet.Backend) { b.InFlight = 2 })}, need{Request: weightsOf("m", 0), short: true}, "a"},
 		{"other items avoid a failed backend", []fleet.Backend{backend("a", func(b *fleet.Backend) { b.Failures = 1 }), backend("b", func(b *fleet.Backend) { b.InFlight = 2 })}, want, "b"},
-		{"backend assigned to the model preferred", []fleet.Backend{backend("a", func(b *fleet.Backend) { b.Share = "other" }), backend("b", func(b *fleet.Backend) { b.Share, b.InFlight = "m", 3 })}, want, "b"},
-		{"only backend is assigned to another model", []fleet.Backend{backend("a", func(b *fleet.Backend) { b.Share = "other" })}, want, "a"},
+		{"backend assigned to the model preferred", []fleet.Backend{backend("a", func(b *fleet.Backend) { b.AssignedModel = "other" }), backend("b", func(b *fleet.Backend) { b.AssignedModel, b.InFlight = "m", 3 })}, want, "b"},
+		{"only backend is assigned to another model", []fleet.Backend{backend("a", func(b *fleet.Backend) { b.AssignedModel = "other" })}, want, "a"},
 		{"only backend is to be avoided", []fleet.Backend{backend("a", nil)}, need{Request: weightsOf("m", 0), avoid: "a"}, "a"},
 	}
 	for _, test := range cases {
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -76,7 +76,7 @@
 	if b.ScoreLatency > 0 {
 		latency = float64(b.ScoreLatency)
 	}
-	cost := latency * b.SlowNow(now) * (1 + b.Load())
+	cost := latency * b.ExpectedSlowdown(now) * (1 + b.Load())
 	cost += scoreDistance * float64(b.Reach.Distance.Duration())
 	if b.Reach.Idle == 0 {
 		cost += scoreOpening * float64(usual)
--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -71,9 +71,9 @@
 	// SuspendedUntil is until when the instance gets requests only if no other can.
 	SuspendedUntil time.Time
 	SuspendReason  string
-	// Share is the model assigned to the instance where the models of a service are
+	// AssignedModel is the model assigned to the instance where the models of a service are
 	// divided among its instances, empty if unknown.
-	Share string
+	AssignedModel string
 	// LoadingModel is the model whose weights are being changed, empty if none.
 	LoadingModel string
 	// LoadingUntil is when LoadingModel expires.
@@ -86,27 +86,27 @@
 // Memory is the token memory of a back end, shared by its running requests. All sizes are
 // in tokens. A back end that runs out of it preempts requests.
 type Memory struct {
-	// Most is the capacity, 0 if unknown.
-	Most int
+	// Capacity is the capacity, 0 if unknown.
+	Capacity int
 	// Held is the current use by this node's requests.
 	Held int
 	// Expected is the use expected of this node's requests when they end.
 	Expected int
 }
 
-// Full returns the fraction of the capacity in use after adding more tokens, 0 if the
+// Utilization returns the fraction of the capacity in use after adding more tokens, 0 if the
 // capacity is unknown.
-func (m Memory) Full(more int) float64 { return m.share(m.Held + more) }
+func (m Memory) Utilization(more int) float64 { return m.share(m.Held + more) }
 
-// Crowded returns the fraction of the capacity in use when the requests end, after adding
+// ExpectedUtilization returns the fraction of the capacity in use when the requests end, after adding
 // more tokens, 0 if the capacity is unknown.
-func (m Memory) Crowded(more int) float64 { return m.share(m.Expected + more) }
+func (m Memory) ExpectedUtilization(more int) float64 { return m.share(m.Expected + more) }
 
 func (m Memory) share(tokens int) float64 {
-	if m.Most <= 0 {
+	if m.Capacity <= 0 {
 		return 0
 	}
-	return float64(tokens) / float64(m.Most)
+	return float64(tokens) / float64(m.Capacity)
 }
 
 // Reach describes the path from a node to a back end.
@@ -146,9 +146,9 @@
 // short because the load of other processes on a machine changes several times a second.
 const slowdownDecay = 500 * time.Millisecond
 
-// SlowNow returns the slowdown expected now: the reported one, decaying towards 1 with its
+// ExpectedSlowdown returns the slowdown expected now: the reported one, decaying towards 1 with its
 // age, or 1 if none is reported.
-func (b Backend) SlowNow(now time.Time) float64 {
+func (b Backend) ExpectedSlowdown(now time.Time) float64 {
 	if b.Slowdown <= 0 {
 		return 1
 	}
@@ -269,7 +269,7 @@
 // are in flight stay counted until their callers end them.
 func (e *entry) reset() {
 	e.loaded = nil
-	e.condition = Condition{InFlight: e.condition.InFlight, Share: e.condition.Share, ColdUntil: e.condition.ColdUntil}
+	e.condition = Condition{InFlight: e.condition.InFlight, AssignedModel: e.condition.AssignedModel, ColdUntil: e.condition.ColdUntil}
 }
 
 func later(a, b time.Time) time.Time {
@@ -330,9 +330,9 @@
 	f.with(id, func(c *Condition) { c.ColdUntil = later(c.ColdUntil, until) })
 }
 
-// MarkShare records the model that is assigned to an instance.
-func (f *Fleet) MarkShare(id, model string) {
-	f.with(id, func(c *Condition) { c.Share = model })
+// MarkAssignedModel records the model that is assigned to an instance.
+func (f *Fleet) MarkAssignedModel(id, model string) {
+	f.with(id, func(c *Condition) { c.AssignedModel = model })
 }
 
 // Service returns the back ends of a service, sorted by id.
--- a/internal/gatewaynode/forward/choose.go
+++ b/internal/gatewaynode/forward/choose.go
@@ -80,7 +80,7 @@
 		latency = usualLatency + distance
 	}
 	waiting := float64(backend.Waiting) / float64(max(backend.Slots, 1))
-	estimate := time.Duration(float64(latency) * backend.SlowNow(now) * (1 + backend.Load() + 2*waiting))
+	estimate := time.Duration(float64(latency) * backend.ExpectedSlowdown(now) * (1 + backend.Load() + 2*waiting))
 	if backend.Load() >= 1 {
 		estimate *= 2
 	}
--- a/internal/gatewaynode/reload/reload.go
+++ b/internal/gatewaynode/reload/reload.go
@@ -160,7 +160,7 @@
 	}
 	c.config.Fleet.MarkLoading(instance, load.Loading, time.Now().Add(loadingMost))
 	if load.Share != "" {
-		c.config.Fleet.MarkShare(instance, load.Share)
+		c.config.Fleet.MarkAssignedModel(instance, load.Share)
 	}
 }
 
