--- a/internal/gatewaynode/batch/checkpoint.go
+++ b/internal/gatewaynode/batch/checkpoint.go
@@ -99,7 +99,7 @@
 	case i.phase == phaseFinished:
 		return false
 	case i.text.complete:
-		return !i.savedWhole
+		return !i.savedComplete
 	default:
 		return len(i.text.events) > i.saved && time.Since(i.firstStart) >= age
 	}
@@ -134,7 +134,7 @@
 	for _, segment := range segments {
 		item := &job.items[segment.item]
 		if item.sequence == segment.sequence && item.saved == segment.from {
-			item.saved, item.savedWhole = segment.upTo, segment.complete
+			item.saved, item.savedComplete = segment.upTo, segment.complete
 		}
 	}
 	return true
--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -15,24 +15,24 @@
 const (
 	// commitDelay is how long results are collected before a commit.
 	commitDelay = 30 * time.Millisecond
-	// holdMost is the maximum time for which results are held back while the caller
-	// waits for more groups, and holdTail the maximum while few groups are missing.
-	holdMost clock.Millis = 400
-	holdTail clock.Millis = 2000
+	// maxHold is the maximum time for which results are held back while the caller
+	// waits for more groups, and maxTailHold the maximum while few groups are missing.
+	maxHold     clock.Millis = 400
+	maxTailHold clock.Millis = 2000
 	// holdSlack is added to the latest expected end of the last item.
 	holdSlack clock.Millis = 200
 	// maxEndHold is the maximum time for which results are held back until all items have
-	// ended. It covers results that were already held for holdMost when that end came
-	// within holdTail, plus some delay.
-	maxEndHold = holdTail + 2*holdMost + holdSlack
+	// ended. It covers results that were already held for maxHold when that end came
+	// within maxTailHold, plus some delay.
+	maxEndHold = maxTailHold + 2*maxHold + holdSlack
 	// readInterval is the time within which a caller that got an answer reads again: half
 	// a second plus the duration of the read and of a commit.
 	readInterval clock.Millis = 650
 	// dueGrace is how late a result may be read and still count as in time for its
 	// caller.
 	dueGrace clock.Millis = 700
-	// holdBytes is the maximum size of the results that are held back: half a page.
-	holdBytes = pageBytes / 2
+	// maxHeldBytes is the maximum size of the results that are held back: half a page.
+	maxHeldBytes = pageBytes / 2
 	// minCommitRetryPause is the pause after the first failed attempt of a commit. It
 	// doubles with each further one up to maxCommitRetryPause.
 	minCommitRetryPause = 50 * time.Millisecond
@@ -82,8 +82,8 @@
 // without new results stays pending and returns the next commit at once, whereas a read
 // that returns too few results delays the caller's next one by half a second. Besides,
 // each commit wakes every node. Results are therefore held until the groups that the
-// caller waits for are complete, for at most holdMost, or holdTail if few are missing,
-// and not beyond their due time. Once all items are expected to end within holdTail,
+// caller waits for are complete, for at most maxHold, or maxTailHold if few are missing,
+// and not beyond their due time. Once all items are expected to end within maxTailHold,
 // holdUntilEnd applies.
 //
 // The runner's lock is held.
@@ -92,15 +92,15 @@
 		return 0
 	}
 	left := j.dueRemaining(route, now)
-	if end, sure := j.endWithin(known); sure && end <= holdTail {
+	if end, sure := j.endWithin(known); sure && end <= maxTailHold {
 		return min(left, j.holdUntilEnd(end, now))
 	}
-	if j.heldBytes() > holdBytes {
+	if j.heldBytes() > maxHeldBytes {
 		return 0
 	}
-	most := holdMost
+	most := maxHold
 	if j.groups.near() {
-		most = holdTail
+		most = maxTailHold
 	}
 	return min(left, j.finished[0].at+most-clock.At(now))
 }
--- a/internal/gatewaynode/batch/decide_test.go
+++ b/internal/gatewaynode/batch/decide_test.go
@@ -8,40 +8,40 @@
 )
 
 func TestDecide(t *testing.T) {
-	open := situation{known: true}
-	mine := func(s situation) situation { s.mine = true; return s }
-	gone := func(s situation, rank int, orphaned time.Duration) situation {
+	open := ownershipState{known: true}
+	mine := func(s ownershipState) ownershipState { s.owned = true; return s }
+	gone := func(s ownershipState, rank int, orphaned time.Duration) ownershipState {
 		s.owner, s.rank, s.orphanedFor = presence.Gone, rank, orphaned
 		return s
 	}
 	cases := []struct {
 		name string
-		in   situation
+		in   ownershipState
 		want action
 	}{
 		{"own job that is not open is opened", mine(open), actOpen},
-		{"own open job stays open", situation{known: true, mine: true, running: true}, actNothing},
-		{"own job that has ended is closed", situation{known: true, mine: true, running: true, finished: true}, actClose},
-		{"job with another owner is closed", situation{known: true, running: true}, actClose},
-		{"stopping node opens no job", situation{known: true, mine: true, stopping: true}, actNothing},
-		{"unknown job", situation{}, actNothing},
-		{"owner alive", situation{known: true, owner: presence.Alive}, actNothing},
-		{"owner state unknown", situation{known: true, owner: presence.Unknown}, actNothing},
+		{"own open job stays open", ownershipState{known: true, owned: true, running: true}, actNothing},
+		{"own job that has ended is closed", ownershipState{known: true, owned: true, running: true, finished: true}, actClose},
+		{"job with another owner is closed", ownershipState{known: true, running: true}, actClose},
+		{"stopping node opens no job", ownershipState{known: true, owned: true, stopping: true}, actNothing},
+		{"unknown job", ownershipState{}, actNothing},
+		{"owner alive", ownershipState{known: true, owner: presence.Alive}, actNothing},
+		{"owner state unknown", ownershipState{known: true, owner: presence.Unknown}, actNothing},
 		{"owner gone, first in rank", gone(open, 0, 0), actTakeOver},
 		{"owner gone, second in rank waits", gone(open, 1, 0), actNothing},
 		{"owner gone, second in rank after its stagger", gone(open, 1, takeOverStagger), actTakeOver},
 		{"owner gone, this node not ranked", gone(open, -1, time.Hour), actNothing},
-		{"owner gone, takeover in progress", func() situation { s := gone(open, 0, 0); s.taking = true; return s }(), actNothing},
-		{"owner gone, job ended", func() situation { s := gone(open, 0, 0); s.finished = true; return s }(), actNothing},
-		{"owner gone, this node stopping", func() situation { s := gone(open, 0, 0); s.stopping = true; return s }(), actNothing},
-		{"own job outside its regions is handed over", situation{known: true, mine: true, running: true, outside: true}, actLeave},
-		{"own job outside its regions is not opened", situation{known: true, mine: true, outside: true}, actLeave},
-		{"own job outside its regions was handed over recently", situation{known: true, mine: true, outside: true, leftLately: true}, actNothing},
-		{"own open job outside its regions is handed over again at once", situation{known: true, mine: true, running: true, outside: true, leftLately: true}, actLeave},
-		{"own job outside its regions, hand-over in progress", situation{known: true, mine: true, running: true, outside: true, taking: true}, actNothing},
-		{"own ended job outside its regions is closed", situation{known: true, mine: true, running: true, outside: true, finished: true}, actClose},
-		{"stopping node leaves the hand-over to Stop", situation{known: true, mine: true, running: true, outside: true, stopping: true}, actNothing},
-		{"owner gone, job outside its regions", func() situation { s := gone(open, 0, time.Hour); s.outside = true; return s }(), actNothing},
+		{"owner gone, takeover in progress", func() ownershipState { s := gone(open, 0, 0); s.changingOwner = true; return s }(), actNothing},
+		{"owner gone, job ended", func() ownershipState { s := gone(open, 0, 0); s.finished = true; return s }(), actNothing},
+		{"owner gone, this node stopping", func() ownershipState { s := gone(open, 0, 0); s.stopping = true; return s }(), actNothing},
+		{"own job outside its regions is handed over", ownershipState{known: true, owned: true, running: true, disallowedHere: true}, actLeave},
+		{"own job outside its regions is not opened", ownershipState{known: true, owned: true, disallowedHere: true}, actLeave},
+		{"own job outside its regions was handed over recently", ownershipState{known: true, owned: true, disallowedHere: true, leftRecently: true}, actNothing},
+		{"own open job outside its regions is handed over again at once", ownershipState{known: true, owned: true, running: true, disallowedHere: true, leftRecently: true}, actLeave},
+		{"own job outside its regions, hand-over in progress", ownershipState{known: true, owned: true, running: true, disallowedHere: true, changingOwner: true}, actNothing},
+		{"own ended job outside its regions is closed", ownershipState{known: true, owned: true, running: true, disallowedHere: true, finished: true}, actClose},
+		{"stopping node leaves the hand-over to Stop", ownershipState{known: true, owned: true, running: true, disallowedHere: true, stopping: true}, actNothing},
+		{"owner gone, job outside its regions", func() ownershipState { s := gone(open, 0, time.Hour); s.disallowedHere = true; return s }(), actNothing},
 	}
 	for _, test := range cases {
 		if got := decide(test.in); got != test.want {
--- a/internal/gatewaynode/batch/demand.go
+++ b/internal/gatewaynode/batch/demand.go
@@ -16,7 +16,7 @@
 	defer m.mu.Unlock()
 	demand := make(map[string]float64)
 	for _, state := range m.jobs {
-		if state.known && now.Sub(state.seen) < demandWindow {
+		if state.known && now.Sub(state.firstSeen) < demandWindow {
 			demand[state.head.Model] += float64(state.head.ExpectedTokens)
 		}
 	}
@@ -31,7 +31,7 @@
 	defer m.mu.Unlock()
 	widths := make(map[string]int)
 	for _, state := range m.jobs {
-		if state.known && now.Sub(state.seen) < demandWindow {
+		if state.known && now.Sub(state.firstSeen) < demandWindow {
 			widths[state.head.Model] = max(widths[state.head.Model], state.head.width())
 		}
 	}
@@ -46,7 +46,7 @@
 	defer m.mu.Unlock()
 	regions := make(map[string]place.Regions)
 	for _, state := range m.jobs {
-		if !state.known || now.Sub(state.seen) >= demandWindow {
+		if !state.known || now.Sub(state.firstSeen) >= demandWindow {
 			continue
 		}
 		own := m.regionsOf(state.head)
--- a/internal/gatewaynode/batch/groups_test.go
+++ b/internal/gatewaynode/batch/groups_test.go
@@ -26,19 +26,19 @@
 		want  clock.Millis
 	}{
 		{"no finished items", ownedJob{left: 3, groups: few}, nil, 0},
-		{"too few groups are whole", ownedJob{left: 3, groups: few, finished: finished(100)}, nil, holdMost - 100},
-		{"held for the maximum time", ownedJob{left: 3, groups: few, finished: finished(holdMost)}, nil, 0},
+		{"too few groups are whole", ownedJob{left: 3, groups: few, finished: finished(100)}, nil, maxHold - 100},
+		{"held for the maximum time", ownedJob{left: 3, groups: few, finished: finished(maxHold)}, nil, 0},
 		{"enough groups are whole", ownedJob{left: 3, groups: enough, finished: finished(0)}, nil, 0},
 		{"no wanted groups", ownedJob{left: 3, finished: finished(0)}, nil, 0},
 		{"no items left", ownedJob{groups: few, finished: finished(0)}, nil, 0},
 		{"job is closed", ownedJob{left: 3, ctx: ctx, groups: few, finished: finished(0)}, nil, 0},
-		{"due later", ownedJob{left: 3, head: submitted(time.Second), groups: few, finished: finished(0)}, due, holdMost},
+		{"due later", ownedJob{left: 3, head: submitted(time.Second), groups: few, finished: finished(0)}, due, maxHold},
 		{"due soon", ownedJob{left: 3, head: submitted(6900 * time.Millisecond), groups: few, finished: finished(0)}, due, 100},
-		{"few groups are missing", ownedJob{left: 3, groups: groups{wanted: 10, whole: 8}, finished: finished(500)}, nil, holdTail - 500},
-		{"carried groups are missing", ownedJob{left: 3, groups: groups{wanted: 2, whole: 2, carriedLeft: 1}, finished: finished(0)}, nil, holdTail},
-		{"long past due", ownedJob{left: 3, head: submitted(9 * time.Second), groups: few, finished: finished(100)}, due, holdMost - 100},
+		{"few groups are missing", ownedJob{left: 3, groups: groups{wanted: 10, whole: 8}, finished: finished(500)}, nil, maxTailHold - 500},
+		{"carried groups are missing", ownedJob{left: 3, groups: groups{wanted: 2, whole: 2, carriedLeft: 1}, finished: finished(0)}, nil, maxTailHold},
+		{"long past due", ownedJob{left: 3, head: submitted(9 * time.Second), groups: few, finished: finished(100)}, due, maxHold - 100},
 		{"just past due", ownedJob{left: 3, head: submitted(7100 * time.Millisecond), groups: few, finished: finished(0)}, due, -100},
-		{"held text exceeds holdBytes", ownedJob{left: 3, groups: few, finished: []finishedItem{{at: moment, result: Result{Text: strings.Repeat(".", holdBytes+1)}}}}, nil, 0},
+		{"held text exceeds maxHeldBytes", ownedJob{left: 3, groups: few, finished: []finishedItem{{at: moment, result: Result{Text: strings.Repeat(".", maxHeldBytes+1)}}}}, nil, 0},
 	}
 	for _, test := range cases {
 		if test.job.ctx == nil {
@@ -76,12 +76,12 @@
 		age   time.Duration
 		want  clock.Millis
 	}{
-		{"the longest may run for holdTail", []itemState{running(50)}, &known, 0, holdTail + holdSlack},
+		{"the longest may run for maxTailHold", []itemState{running(50)}, &known, 0, maxTailHold + holdSlack},
 		{"the longest has 25 events left", []itemState{{phase: phaseFinished}, running(90), running(75)}, &known, 0, 1000 + holdSlack},
-		{"longer than any ended item", []itemState{running(120)}, &known, 0, holdMost - held},
-		{"the longest runs for much longer", []itemState{running(90), running(20)}, &known, 0, holdMost - held},
-		{"an item waits for a slot", []itemState{running(90), {phase: phaseWaiting}}, &known, 0, holdMost - held},
-		{"no lengths known for the model", []itemState{running(90)}, &lengths{}, 0, holdMost - held},
+		{"longer than any ended item", []itemState{running(120)}, &known, 0, maxHold - held},
+		{"the longest runs for much longer", []itemState{running(90), running(20)}, &known, 0, maxHold - held},
+		{"an item waits for a slot", []itemState{running(90), {phase: phaseWaiting}}, &known, 0, maxHold - held},
+		{"no lengths known for the model", []itemState{running(90)}, &lengths{}, 0, maxHold - held},
 		{"more than one page, with time for a second read", []itemState{long(75)}, &known, 0, 0},
 		{"more than one page, without time for a second read", []itemState{long(85)}, &known, 0, 600 + holdSlack},
 		{"due before the end", []itemState{running(75)}, &known, 6500 * time.Millisecond, 500},
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -79,15 +79,15 @@
 	ended bool
 	// changed is closed and replaced whenever the head or ended changes.
 	changed chan struct{}
-	// seen is when this node first learned of the job, with a monotonic clock reading.
-	seen time.Time
-	// orphaned is when the owner was first found to be gone, zero while it is not.
-	orphaned time.Time
-	// taking is set while this node is changing the owner.
-	taking bool
-	// left is when this node last handed the job over because it is not allowed in
+	// firstSeen is when this node first learned of the job, with a monotonic clock reading.
+	firstSeen time.Time
+	// orphanedSince is when the owner was first found to be gone, zero while it is not.
+	orphanedSince time.Time
+	// changingOwner is set while this node is changing the owner.
+	changingOwner bool
+	// leftAt is when this node last handed the job over because it is not allowed in
 	// this node's region.
-	left time.Time
+	leftAt time.Time
 	// waiting is set if there is no node in the job's regions.
 	waiting bool
 }
@@ -222,7 +222,7 @@
 	if complete {
 		for id, state := range m.jobs {
 			// A job that this node has just written may be newer than this read.
-			if !present[id] && time.Since(state.seen) > m.config.Retention {
+			if !present[id] && time.Since(state.firstSeen) > m.config.Retention {
 				delete(m.jobs, id)
 			}
 		}
@@ -255,7 +255,7 @@
 func (m *Manager) state(job string) *jobState {
 	state := m.jobs[job]
 	if state == nil {
-		state = &jobState{id: job, changed: make(chan struct{}), seen: time.Now()}
+		state = &jobState{id: job, changed: make(chan struct{}), firstSeen: time.Now()}
 		m.jobs[job] = state
 	}
 	return state
@@ -267,7 +267,7 @@
 		return
 	}
 	if !s.known || s.head.Epoch != head.Epoch {
-		s.orphaned = time.Time{}
+		s.orphanedSince = time.Time{}
 	}
 	s.head, s.headRevision, s.known = head, revision, true
 	s.notifyChange()
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -29,18 +29,18 @@
 	actLeave
 )
 
-// situation is the input of decide for one job.
-type situation struct {
-	known    bool // the head has been read
-	finished bool // no item is left to run
-	mine     bool // the head names this node as the owner
-	running  bool // this node has the job open
-	stopping bool // this node is stopping
-	taking   bool // this node is changing the owner
-	// outside is set if the job is not allowed in this node's region.
-	outside bool
-	// leftLately is set if this node handed the job over less than leaveRest ago.
-	leftLately bool
+// ownershipState is the input of decide for one job.
+type ownershipState struct {
+	known         bool // the head has been read
+	finished      bool // no item is left to run
+	owned         bool // the head names this node as the owner
+	running       bool // this node has the job open
+	stopping      bool // this node is stopping
+	changingOwner bool // this node is changing the owner
+	// disallowedHere is set if the job is not allowed in this node's region.
+	disallowedHere bool
+	// leftRecently is set if this node handed the job over less than leaveRest ago.
+	leftRecently bool
 	// owner is the liveness of the owner if that is another node.
 	owner presence.Liveness
 	// orphanedFor is the time since the owner was found to be gone.
@@ -51,19 +51,19 @@
 }
 
 // decide returns the next action for a job.
-func decide(s situation) action {
+func decide(s ownershipState) action {
 	switch {
-	case s.running && (!s.mine || s.finished):
+	case s.running && (!s.owned || s.finished):
 		return actClose
 	case !s.known || s.finished || s.stopping:
 		return actNothing
-	case s.mine && s.outside && (s.taking || s.leftLately && !s.running):
+	case s.owned && s.disallowedHere && (s.changingOwner || s.leftRecently && !s.running):
 		return actNothing
-	case s.mine && s.outside:
+	case s.owned && s.disallowedHere:
 		return actLeave
-	case s.mine && !s.running:
+	case s.owned && !s.running:
 		return actOpen
-	case s.mine || s.outside || s.taking || s.owner != presence.Gone || s.rank < 0:
+	case s.owned || s.disallowedHere || s.changingOwner || s.owner != presence.Gone || s.rank < 0:
 		return actNothing
 	case s.orphanedFor >= time.Duration(s.rank)*takeOverStagger:
 		return actTakeOver
@@ -85,25 +85,25 @@
 	m.mu.Lock()
 	members := sync.OnceValue(func() *presence.Members { return m.config.Presence.Members(now) })
 	for id, state := range m.jobs {
-		current := situation{
-			known: state.known, taking: state.taking, stopping: m.stopping,
+		current := ownershipState{
+			known: state.known, changingOwner: state.changingOwner, stopping: m.stopping,
 			finished: state.finished(),
-			mine:     state.known && state.head.Owner == m.self.Name && state.head.Incarnation == m.self.Incarnation,
+			owned:    state.known && state.head.Owner == m.self.Name && state.head.Incarnation == m.self.Incarnation,
 			running:  m.runner.has(id),
 		}
 		if current.known && !current.finished {
 			regions := m.regionsOf(state.head)
-			current.outside = !regions.Has(m.self.Region)
-			current.leftLately = now.Sub(state.left) < leaveRest
-			if !current.mine {
+			current.disallowedHere = !regions.Has(m.self.Region)
+			current.leftRecently = now.Sub(state.leftAt) < leaveRest
+			if !current.owned {
 				m.assessOwner(state, &current, regions, members, now)
-			} else if !current.outside {
+			} else if !current.disallowedHere {
 				m.noteWaiting(state, regions, false, true)
 			}
 		}
 		act := decide(current)
 		if act == actTakeOver || act == actLeave {
-			state.taking = true
+			state.changingOwner = true
 		}
 		if act != actNothing {
 			tasks = append(tasks, task{id, act})
@@ -118,17 +118,17 @@
 // assessOwner fills in the liveness of a job's owner, which is another node, and this
 // node's rank among those that may take the job over. If no node may, the keeper that
 // ranks first across all regions logs that the job waits. The lock is held.
-func (m *Manager) assessOwner(state *jobState, current *situation, regions place.Regions, members func() *presence.Members, now time.Time) {
+func (m *Manager) assessOwner(state *jobState, current *ownershipState, regions place.Regions, members func() *presence.Members, now time.Time) {
 	current.owner = m.config.Presence.Liveness(state.head.Owner, state.head.Incarnation, now)
 	if current.owner != presence.Gone {
-		state.orphaned = time.Time{}
+		state.orphanedSince = time.Time{}
 		m.noteWaiting(state, regions, false, false)
 		return
 	}
-	if state.orphaned.IsZero() {
-		state.orphaned = now
+	if state.orphanedSince.IsZero() {
+		state.orphanedSince = now
 	}
-	current.orphanedFor = now.Sub(state.orphaned)
+	current.orphanedFor = now.Sub(state.orphanedSince)
 	candidates := presence.Rank(members().KeepersWithin(regions), state.head.OwnerKey)
 	current.rank = presence.Place(candidates, m.self.Name)
 	first := presence.Place(presence.Rank(members().KeepersWithin(place.Regions{}), state.head.OwnerKey), m.self.Name) == 0
@@ -160,14 +160,14 @@
 	head.Epoch++
 	status := m.replaceHead(ctx, id, state.headRevision, head)
 	m.mu.Lock()
-	m.state(id).taking = false
+	m.state(id).changingOwner = false
 	m.mu.Unlock()
 	if status != OK {
 		return
 	}
 	m.config.Log.Warn(eventlog.JobTaken, eventlog.Fields{
 		eventlog.Job: id, eventlog.Owner: state.head.Owner, eventlog.Epoch: head.Epoch,
-		"orphaned_ms": time.Since(state.orphaned).Milliseconds(), "listed": head.Count, "total": head.Total,
+		"orphaned_ms": time.Since(state.orphanedSince).Milliseconds(), "listed": head.Count, "total": head.Total,
 	})
 	m.reconcile(ctx)
 }
@@ -265,7 +265,7 @@
 	m.mu.Lock()
 	expired := ""
 	for id, state := range m.jobs {
-		if now.Sub(state.seen) > m.config.Retention+retentionMargin && state.known && state.head.age(now) > m.config.Retention+retentionMargin {
+		if now.Sub(state.firstSeen) > m.config.Retention+retentionMargin && state.known && state.head.age(now) > m.config.Retention+retentionMargin {
 			expired = id
 			break
 		}
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -146,7 +146,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.state(id)
-	now.taking, now.left = false, time.Now()
+	now.changingOwner, now.leftAt = false, time.Now()
 	regions := m.regionsOf(state.head)
 	waits := now.head.Owner == m.self.Name && len(presence.KeepersWithin(m.config.Presence.Proven(time.Now()), regions)) == 0
 	m.noteWaiting(now, regions, waits, true)
--- a/internal/gatewaynode/batch/regions_test.go
+++ b/internal/gatewaynode/batch/regions_test.go
@@ -88,7 +88,7 @@
 	put("3", Head{Model: "n", Route: "ab"})
 	put("4", Head{Model: "n", Route: "free"})
 	put("5", Head{Model: "o", Route: "ab"})
-	m.jobs["5"].seen = time.Now().Add(-2 * demandWindow)
+	m.jobs["5"].firstSeen = time.Now().Add(-2 * demandWindow)
 	found := m.Confined()
 	if len(found) != 1 || found["m"].String() != "a,b,c" {
 		t.Errorf("Confined() = %v, want a,b,c for m only", found)
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -296,7 +296,7 @@
 func (i *itemState) resetText() {
 	i.text = text{}
 	i.sequence++
-	i.saved, i.savedWhole = 0, false
+	i.saved, i.savedComplete = 0, false
 }
 
 // finishRun handles the end of a run: it completes or fails the item, or leaves it waiting
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -46,8 +46,8 @@
 	// sequence counts how often the output was started over; saved is the number of events
 	// of the current sequence that are stored.
 	sequence, saved int
-	// savedWhole is set if the complete output is stored.
-	savedWhole bool
+	// savedComplete is set if the complete output is stored.
+	savedComplete bool
 	// moved is when the item was last moved to another backend, and avoid the backend
 	// that it was moved away from.
 	moved time.Time
--- a/internal/gatewaynode/batch/scoreplace_test.go
+++ b/internal/gatewaynode/batch/scoreplace_test.go
@@ -132,7 +132,7 @@
 	if !item.unsaved(time.Hour) {
 		t.Error("complete text that waits for its score is not stored at once")
 	}
-	item.saved, item.savedWhole = 1, true
+	item.saved, item.savedComplete = 1, true
 	if item.unsaved(0) {
 		t.Error("complete text is stored twice")
 	}
