--- a/internal/gatewaynode/coldstart/coldstart.go
+++ b/internal/gatewaynode/coldstart/coldstart.go
@@ -1,20 +1,21 @@
-// Package coldstart bounds what a cold back end gets: one that has just started, or that
-// turned cold again, is slow for some seconds and falls over if all nodes send to it as
+// Package coldstart limits the requests to cold backends. A backend that has just started or
+// turned cold again is slow for some seconds, and may fail if all nodes send to it as much as
 // they do to a warm one.
 //
 // # Shares
 //
-// The bound holds for all nodes together, whether they reach the store or each other. So
-// it is handed out beforehand: the nodes are ranked for each back end, the owners of its
-// service's jobs first, and each of the first ones has a share of its own; all others
-// leave the back end alone while it is cold. With fewer nodes than shares each has several.
-// Nodes agree on the rank wherever they know the same nodes. Where they do not, for the
-// time of a change of membership, two sets of senders may use their shares: so all shares
-// together are half of the bound. A node that cannot be sure to be still counted by the
-// others has no share.
+// The limit applies to all nodes together, even while they reach neither the store nor each
+// other, so it is divided among them in advance. Nodes are ranked for each backend, with the
+// owners of jobs of its service first. The first ones have a share each, and all others send
+// nothing to the backend while it is cold. With fewer nodes than shares, each has several.
 //
-// A share counts requests in the last second up to the moment of sending, so that a
-// process that was frozen sends no more than its share when it wakes.
+// Nodes with the same view of the membership agree on the ranks. While a membership change
+// spreads, nodes with the old and with the new view may both use their shares, so all shares
+// together are half of the limit. A node that may have been dropped by the others' views has no
+// share.
+//
+// A share counts requests at the moment of sending over a sliding window, so that a process that
+// resumes after a pause sends no more than its share.
 package coldstart
 
 import (
@@ -23,41 +24,41 @@
 	"time"
 )
 
-// Unbounded is the share of a back end that nothing is bounded of.
+// Unbounded is the share for a backend without a limit.
 const Unbounded = math.MaxInt
 
-// Limits are what a cold back end of a service may get. The zero Limits bound nothing.
+// Limits limit the requests to a cold backend of a service. The zero value sets no limit.
 type Limits struct {
-	// PerSecond is how many requests a second it bears, from the configuration; 0 sets
-	// no bound.
+	// PerSecond is the configured rate in requests per second that a cold backend can handle;
+	// 0 sets no limit.
 	PerSecond float64
-	// Overage and Slack make the bound of the deployment: PerSecond times Overage, and
-	// Slack more, in any second.
+	// Overage and Slack widen the limit for the whole deployment: it allows PerSecond*Overage
+	// + Slack requests in any second.
 	Overage, Slack float64
 }
 
-// Bound returns the most requests in any second, from all nodes.
+// Bound returns the maximum number of requests in any second from all nodes together.
 func (l Limits) Bound() int { return int(l.PerSecond*l.Overage + l.Slack) }
 
-// Bounds tells whether there is a bound.
+// Enabled reports whether there is a limit.
 func (l Limits) Bounds() bool { return l.PerSecond > 0 }
 
 const (
-	// setsMost is how many sets of senders may act at the same time: those of the
-	// membership before a change, and of the one after it.
+	// maxViews is how many views of the membership may be in use at the same time: the one
+	// before a change and the one after it.
 	setsMost = 2
-	// ownersPart is the part of all shares, one in so many, that goes to the owners of
-	// jobs: they start many requests at once, others few.
+	// ownersDivisor is the divisor of the shares that gives the part of the job owners, which
+	// start many requests at once.
 	ownersPart = 2
-	// window is the time that a share is counted over: the bound's second, and what the
-	// way to the back end may vary by.
+	// window is the length of the sliding window of a share: the limit's second plus an
+	// allowance for varying delays on the way to the backend.
 	window = 1100 * time.Millisecond
 )
 
-// Share returns how many requests in a window the node at a place of the rank may send to
-// a back end, where so many nodes are ranked and the first owners places are those of
-// owners of jobs. The shares of all places are half of the bound together; of a bound of 1
-// that is nothing, since two sets of senders would exceed it. It is pure.
+// Share returns how many requests per window the node with the given rank, from 0, may send to a
+// backend. nodes is the number of ranked nodes, of which the first owners own jobs. The shares of
+// all ranks add up to half of the limit, rounded down; for a limit of 1 that is 0, since two
+// views of the membership would exceed it.
 func Share(l Limits, place, owners, nodes int) int {
 	all := l.Bound() / setsMost
 	if place < 0 || place >= nodes || all <= 0 {
@@ -73,8 +74,8 @@
 	return portion(all-forOwners, place-owners, nodes-owners)
 }
 
-// portion returns what the one at a place gets of an amount that so many divide as evenly
-// as whole numbers allow.
+// portion returns the part at an index when amount is divided among count as evenly as integers
+// allow.
 func portion(amount, place, count int) int {
 	if place < amount%count {
 		return amount/count + 1
@@ -82,16 +83,16 @@
 	return amount / count
 }
 
-// Turns counts what this node sends to cold back ends. It is safe for concurrent use.
+// Limiter counts the requests of this node to cold backends. It is safe for concurrent use.
 type Turns struct {
 	mu   sync.Mutex
 	sent map[string][]time.Time
 }
 
-// NewTurns returns counts of nothing.
+// NewLimiter returns a Limiter without any requests counted.
 func NewTurns() *Turns { return &Turns{sent: make(map[string][]time.Time)} }
 
-// Room returns how many requests of a share may still be sent to a back end now.
+// Remaining returns how many more requests of a share may be sent to a backend now.
 func (t *Turns) Room(backend string, share int, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,8 +102,8 @@
 	return max(share-len(t.recent(backend, now)), 0)
 }
 
-// Take counts a request that is sent to a back end now, and tells whether the share
-// allows it.
+// Take counts a request to a backend at the moment of sending and reports whether the share
+// allows it. A request that is not allowed is not counted.
 func (t *Turns) Take(backend string, share int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,8 +118,7 @@
 	return true
 }
 
-// Next returns when a share that is used up allows one more request, the zero time if it
-// never does.
+// Next returns when the share allows the next request, the zero time if it never does.
 func (t *Turns) Next(backend string, share int, now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +134,7 @@
 	return recent[len(recent)-share].Add(window)
 }
 
-// recent returns what was sent in the last window. The lock is held.
+// recent returns the send times within the last window. The lock must be held.
 func (t *Turns) recent(backend string, now time.Time) []time.Time {
 	list := t.sent[backend]
 	for len(list) > 0 && now.Sub(list[0]) >= window {
--- a/internal/gatewaynode/forward/admit.go
+++ b/internal/gatewaynode/forward/admit.go
@@ -8,36 +8,35 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fleet"
 )
 
-// Ask is a request before its first attempt, as its admission sees it.
+// AdmissionRequest describes a request to the admission decision before its first attempt.
 type Ask struct {
-	// Left is how much time it has, Target, within which it has its full worth, 0 if none
-	// is set.
+	// Left is the time until the request's deadline. Target is the latency target of its
+	// route, 0 if none is set.
 	Left, Target time.Duration
-	// Work is how long an answer to its like takes of a back end with a free place, 0 if
-	// that is not known.
+	// ServiceTime is how long a backend with a free slot takes to answer on this route, 0 if
+	// not known.
 	Work time.Duration
 }
 
-// Admission is what becomes of a request before its first attempt.
+// Admission is the decision on a request before its first attempt.
 type Admission struct {
 	Refused bool
-	// Room is after what time there should be room for it, if it is refused.
+	// CapacityDelay is the estimated time until the request could be admitted, if refused.
 	Room time.Duration
 }
 
 const (
-	// targetShare is the share of its target within which the answer to a request has to
-	// be expected. With 1.3 times the requests that four back ends can serve, 0.78 of the
-	// callers are served whatever is let in; within the target 0.38 of them if all are let
-	// in, the same if all that would be answered at all, 0.70 with a share of 1, 0.77 with
-	// 0.5, and 0.75 with 0.25, which leaves places free between two requests.
+	// targetShare is the share of the latency target within which the response has to be
+	// expected. A share of 1 admits requests that miss the target when the estimate of the
+	// wait is too low; a much smaller share leaves slots idle between requests.
 	targetShare = 0.5
-	// workShare is how many times the work the answer may take where the target leaves
-	// less: a wait of half of it.
+	// serviceTimeFactor is the least latency budget of a request with a target, in multiples
+	// of the service time. It admits a wait of half of the service time on routes whose target
+	// is shorter than that.
 	workShare = 1.5
 )
 
-// allowed returns within which time the answer to a request has to be expected. It is pure.
+// latencyBudget returns the time within which the response to a request has to be expected.
 func allowed(ask Ask) time.Duration {
 	if ask.Target == 0 {
 		return ask.Left
@@ -46,11 +45,10 @@
 	return min(time.Duration(within), ask.Left)
 }
 
-// Admit decides whether a request can be answered in time by the back ends that may get
-// it. Where more come than can be served, some are refused whatever is done: those that
-// are let in are then answered within their target, rather than all of them late. None
-// is refused while a back end has a free place, or while half of all places are free and
-// nothing waits. It is pure.
+// Admit decides whether the given eligible backends are expected to respond within the
+// latency budget. Under overload it refuses some requests early, so that those admitted are
+// answered within their target instead of all of them late. It refuses none while a backend
+// has a free slot or HasSpareCapacity holds.
 func Admit(backends []fleet.Backend, ask Ask, allowed time.Duration, now time.Time) Admission {
 	if ask.Work == 0 || len(backends) == 0 || Roomy(backends) {
 		return Admission{}
@@ -62,7 +60,7 @@
 	return Admission{Refused: true, Room: ask.Work + wait - max(allowed, ask.Work)}
 }
 
-// Roomy tells whether half of all places are free and nothing waits. It is pure.
+// HasSpareCapacity reports whether more than half of all slots are free and no request waits.
 func Roomy(backends []fleet.Backend) bool {
 	places, taken := 0, 0
 	for i := range backends {
@@ -75,8 +73,8 @@
 	return 2*taken < places
 }
 
-// Wait estimates how long one more request would wait for a place, where it waits
-// shortest, if an answer takes work. It is pure.
+// EstimateWait estimates how long one more request would wait for a slot at the backend with
+// the shortest wait.
 func Wait(backends []fleet.Backend, work time.Duration, now time.Time) time.Duration {
 	shortest := time.Duration(-1)
 	for i := range backends {
@@ -87,14 +85,15 @@
 	return max(shortest, 0)
 }
 
-// movedOn is how fast a queue that was told of is taken to shorten: less than as fast as it
-// is worked off, since others add to it as long as there are such.
+// queueDrainRate is the assumed rate at which a reported queue shortens, as a share of the
+// service rate. It is below 1 because other nodes may add to the queue.
 const movedOn = 0.5
 
-// waitAt estimates the wait at one back end: those ahead that have no place yet go first,
-// as many at a time as there are places. What this node has there beyond the places waits
-// there, and may be among what the back end said was waiting when it answered last; that
-// has moved on since. So a node that is told nothing for a while refuses nothing.
+// backendWait estimates the wait for a slot at one backend: the requests ahead without a slot
+// are served first, as many at a time as there are slots. Requests of this node beyond the
+// slots wait at the backend, and may be part of the queue that its last response reported.
+// The reported queue is taken to shorten with its age, so that a node without recent load
+// reports does not keep refusing requests.
 func waitAt(backend *fleet.Backend, work time.Duration, now time.Time) time.Duration {
 	places := max(backend.Slots, 1)
 	behind := func(ahead int) time.Duration {
@@ -105,35 +104,36 @@
 	return max(behind(taken-places), reported)
 }
 
-// free tells whether a back end has a place for one more request at once.
+// hasFreeSlot reports whether a backend has a slot free for one more request.
 func free(backend *fleet.Backend) bool {
 	return backend.Waiting == 0 && backend.InFlight+backend.OthersRunning < max(backend.Slots, 1)
 }
 
 const (
-	// comeBackLeast keeps callers from coming back before anything can have changed.
+	// minRetryDelay keeps callers from retrying before the load can have changed.
 	comeBackLeast = 50 * time.Millisecond
-	// comeBackMost is the share of its time after which a caller comes back at the latest:
-	// callers wait no longer than a third of it.
+	// maxRetryShare is the largest share of the remaining time after which a caller is told
+	// to retry: callers wait no longer than a third of it.
 	comeBackMost = 0.33
-	// comeBackSpread is by which share the times of callers that are refused together lie
-	// apart, up and down.
+	// retryJitter spreads the retries of callers that are refused together, as a share of the
+	// delay in both directions.
 	comeBackSpread = 0.5
 )
 
-// ComeBack returns when a refused caller should come back, by when there should be room
-// and what time it has. chance is from 0 to 1 and tells callers apart. It is pure.
+// RetryDelay returns how long a refused caller should wait before it retries, given the
+// estimated time until there is capacity and the time left to its deadline. random is in
+// [0, 1] and sets the jitter.
 func ComeBack(room, left time.Duration, chance float64) time.Duration {
 	spread := 1 + comeBackSpread*(2*chance-1)
 	wait := time.Duration(spread * float64(max(room, comeBackLeast)))
 	return max(min(wait, time.Duration(comeBackMost*float64(left))), time.Millisecond)
 }
 
-// causeFull is why a request is refused that no back end would answer in time.
-const causeFull = "no answer is expected in time"
+// causeOverloaded is the cause of a refusal by admission control.
+const causeFull = "no response is expected within the latency budget"
 
-// admit decides on the request once, before its first attempt. Where no back end may get
-// it, that is for others to say.
+// admit makes the admission decision once, before the first attempt. It admits a request that
+// no backend is eligible for: the choice of a backend reports that.
 func (t *try) admit(backends []fleet.Backend, world *eligibility.World) bool {
 	if t.admitted {
 		return true
@@ -152,8 +152,8 @@
 	return false
 }
 
-// eligible returns the back ends that may get the request, without those that are left
-// alone for a while, if there are others.
+// eligible returns the backends that may get the request. Suspended ones are left out unless
+// all are suspended.
 func (t *try) eligible(backends []fleet.Backend, world *eligibility.World) []fleet.Backend {
 	var eligible, suspended []fleet.Backend
 	wants := t.wants()
@@ -172,8 +172,9 @@
 	return eligible
 }
 
-// roomAfter returns after what time there should be room for a request that was not
-// admitted or that back ends refused: they are passed over for a while.
+// estimateCapacityDelay returns the estimated time until there is capacity for a request that
+// was not admitted or that backends refused. It is at least refusalPause, for which backends
+// that refused are passed over.
 func (t *try) roomAfter(now time.Time) time.Duration {
 	if t.room > 0 {
 		return t.room
@@ -183,7 +184,8 @@
 	return max(Wait(t.eligible(backends, t.forwarder.config.Gate.World(now)), work, now), refusedPause)
 }
 
-// comeBack returns when the caller of a refused request should come back.
+// capacityRetryDelay returns how long the caller of a refused request should wait before it
+// retries.
 func (t *try) comeBack(now time.Time) time.Duration {
 	return ComeBack(t.roomAfter(now), t.request.Deadline.Sub(now), rand.Float64())
 }
--- a/internal/gatewaynode/forward/answer.go
+++ b/internal/gatewaynode/forward/answer.go
@@ -9,7 +9,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/eligibility"
 )
 
-// pass gives a back end's answer to the caller.
+// relay writes a backend's response to the caller.
 func (t *try) pass(w http.ResponseWriter, result attemptResult) Report {
 	report := Report{Outcome: OutcomeAnswered, Status: result.answer.Status, Backend: result.backend.ID}
 	copyHeader(w.Header(), result.answer.Header)
@@ -44,7 +44,7 @@
 	}
 }
 
-// copyHeader copies what is not of one connection alone.
+// copyHeader copies the end-to-end fields of a header.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !HopByHop(name, from) {
@@ -53,7 +53,8 @@
 	}
 }
 
-// giveUp ends a request that no attempt could serve.
+// giveUp ends a request after its last attempt failed. The request is refused if it certainly
+// has not run, and fails otherwise.
 func (t *try) giveUp(w http.ResponseWriter, ended error) Report {
 	if !t.uncertain {
 		return t.refuse(w, t.cause)
@@ -66,15 +67,15 @@
 	return Report{Outcome: OutcomeFailed, Status: status, Cause: cause, Backend: t.last}
 }
 
-// limitReached says which limit of time ended the request.
+// timeoutCause names the time limit that ended the request.
 func (t *try) limitReached() string {
 	if t.limit.Before(t.request.Deadline) {
-		return "time-out of the route, " + t.route.Timeout.String()
+		return "route timeout of " + t.route.Timeout.String() + " exceeded"
 	}
-	return "deadline of the caller"
+	return "caller's deadline exceeded"
 }
 
-// refuse promises that the request has not run and says when to come back.
+// refuse answers 503 with Retry-After, which promises that the request has not run.
 func (t *try) refuse(w http.ResponseWriter, cause string) Report {
 	now := time.Now()
 	survey := t.survey(now)
@@ -90,25 +91,24 @@
 
 const (
 	retryLeast = 50 * time.Millisecond
-	// retryAbsent is when a caller should come back for whom there is no back end
-	// at all, as a share of the time it has left. Entries of the registry lapse
-	// while the store is away and come back with the next heartbeats: that takes
-	// longer than a slot does to fall free.
+	// noBackendRetryShare is the share of the remaining time after which a caller should
+	// retry if there is no backend. Registry entries expire while the store is unreachable
+	// and return with the next heartbeats, which takes longer than a slot takes to become free.
 	retryAbsent = 0.33
 )
 
-// causeNoBackend is why a request is refused that no back end may get, or for which none
-// is known.
+// causeNoBackend is the cause of a refusal if no backend is known or none is eligible.
 const causeNoBackend = "no back end"
 
-// causeQuarantined is why a request is refused under whose like back ends ended.
+// causeQuarantined is the cause of a refusal if the request's fingerprint is quarantined,
+// since backends terminated while they ran requests like it.
 const causeQuarantined = "back ends ended under requests like it"
 
 func (t *try) retryAfter(cause string, survey eligibility.Survey, now time.Time) time.Duration {
 	if cause == causeQuarantined {
 		return max(t.forwarder.config.Trials.Retry(t.work), retryLeast)
 	}
-	// Another node may have a turn where this one has none in the caller's time.
+	// A warming backend may accept requests from another node before it accepts one from this node.
 	if cause == causeNoBackend && survey.Warm > 0 && survey.Warm < t.request.Deadline.Sub(now) {
 		return max(survey.Warm, retryLeast)
 	}
@@ -118,8 +118,8 @@
 	return t.comeBack(now)
 }
 
-// Fail writes an answer of the node's own without a body. A retryAfter above 0
-// tells when to come back.
+// Fail writes a response of the node itself, without a body. A positive retryAfter sets
+// Retry-After.
 func Fail(w http.ResponseWriter, status int, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
--- a/internal/gatewaynode/forward/away_test.go
+++ b/internal/gatewaynode/forward/away_test.go
@@ -12,19 +12,19 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// TestRequestsTimeGoesOnWhileTheMachineIsAway: what is left of a request's time, and whether
-// it may be sent at all, by how long the machine was away since it came.
-func TestRequestsTimeGoesOnWhileTheMachineIsAway(t *testing.T) {
-	var away atomic.Int64
-	defer clock.SetAway(func() time.Duration { return time.Duration(away.Load()) })()
+// TestDeadlineIncludesSuspension checks that time for which the machine was suspended is
+// subtracted from a request's deadline, and that no attempt is sent after it.
+func TestDeadlineIncludesSuspension(t *testing.T) {
+	var suspended atomic.Int64
+	defer clock.SetAway(func() time.Duration { return time.Duration(suspended.Load()) })()
 	for _, test := range []struct {
-		away, left time.Duration
-		may        bool
+		suspended, left time.Duration
+		maySend         bool
 	}{
 		{0, 3 * time.Second, true}, {time.Second, 2 * time.Second, true}, {3 * time.Second, 0, false}, {time.Minute, -57 * time.Second, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			away.Store(0)
+			suspended.Store(0)
 			o := newOverload(t, 1, allowed)
 			defer o.close()
 			limit := time.Now().Add(3 * time.Second)
@@ -32,20 +32,20 @@
 				ctx: t.Context(), forwarder: o.forwarders[0], route: &routetable.Route{Name: "r", Kind: routetable.KindSafe}, service: "s",
 				request: &Request{ID: "r", Deadline: limit}, limit: limit, began: clock.NewMark(), tried: map[string]int{},
 			}
-			away.Store(int64(test.away))
+			suspended.Store(int64(test.suspended))
 			backend, found := tr.choose(time.Now())
 			if !found {
-				t.Fatal("no back end")
+				t.Fatal("no backend chosen")
 			}
-			if left := time.Until(tr.call(backend).Deadline); left != test.left || tr.maySend() != test.may {
-				t.Errorf("away for %s: %s left, may be sent: %v; want %s, %v", test.away, left, tr.maySend(), test.left, test.may)
+			if left := time.Until(tr.call(backend).Deadline); left != test.left || tr.maySend() != test.maySend {
+				t.Errorf("suspended for %s: %s left, maySend = %v; want %s, %v", test.suspended, left, tr.maySend(), test.left, test.maySend)
 			}
-			if test.may {
+			if test.maySend {
 				return
 			}
 			w := httptest.NewRecorder()
 			if report := tr.whole(t.Context(), w); report.Outcome != OutcomeRefused || w.Code != http.StatusServiceUnavailable {
-				t.Errorf("away for %s: %s, status %d", test.away, report.Outcome, w.Code)
+				t.Errorf("suspended for %s: outcome %s, status %d", test.suspended, report.Outcome, w.Code)
 			}
 		})
 	}
--- a/internal/gatewaynode/forward/began.go
+++ b/internal/gatewaynode/forward/began.go
@@ -9,40 +9,40 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// Evidence is what tells that a request began to run.
+// Evidence is the kind of evidence that a request began to run.
 type Evidence string
 
 // Kinds of evidence.
 const (
-	// EvidenceAnswer: a back end answered, or a stream's first event came.
+	// EvidenceAnswer: a backend responded, or the first event of a stream arrived.
 	EvidenceAnswer Evidence = "answer"
-	// EvidenceSent: an attempt was sent that no answer came to, and likely ran.
+	// EvidenceSent: an attempt was sent and likely ran, but got no response.
 	EvidenceSent Evidence = "sent"
 )
 
 const (
-	// unreadMost is for how long, beyond a round trip, a connection may stand after a call was
-	// sent on it that its other side never reads: processes wait for a processor.
+	// maxUnreadDelay is how long, beyond a round trip, a connection may stay open after a call
+	// was sent on it that the peer never reads: its process may wait for a CPU.
 	unreadMost = 50 * time.Millisecond
-	// quietMost is for how long a back end of which nothing is heard is taken to be at work on
-	// a call, if answers take less as a rule.
+	// maxBackendSilence is how long a backend is assumed to be working on a call without
+	// sending anything, on routes with a shorter usual latency.
 	quietMost = 200 * time.Millisecond
 )
 
-// likelyBegan tells whether the back end is taken to have begun the call that failed with
-// an error; only one of an unknown fate may have begun. usual is how long answers of its route usually take, 0 if that
-// is not known. It never tells that a call has not run: that takes a word of the back end. It
-// is pure.
+// likelyBegan reports whether the backend likely began to run the call that failed with err.
+// Only a call with an unknown fate can have begun. usual is the usual latency of the route, 0
+// if not known. A result of false does not prove that the call has not run: only the backend
+// can tell that.
 //
-// A call that this node ended found a connection that stood, and one counts after which the
-// back end was heard, unless it was not read whole. Of other calls whose connection the other
-// side ended,
+// A call that this node aborted began, and so did one after which data arrived from the
+// backend, unless the call was only partly read. Other calls whose connection the peer closed
+// are judged by the time until then:
 //
-//   - one that ended late is taken for lost on a link that had fallen silent;
-//   - one that was read whole began;
-//   - one that was reset began unless that came before answers usually do: what stands before a
-//     back end that is gone resets each request's connection unread for as long as that
-//     lasts, one that breaks down at work those under way, once.
+//   - a connection that closed late is taken for one lost on a dead link;
+//   - a call that was read whole began;
+//   - a reset call began unless the reset came sooner than responses usually do: a proxy in
+//     front of a dead backend resets every connection unread, whereas a backend that crashes
+//     resets the running ones, once.
 func likelyBegan(err error, usual time.Duration) bool {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) || failure.Fate != upstream.Unknown {
@@ -64,12 +64,12 @@
 	return after > max(usual, unreadMost)
 }
 
-// likelyBegan tells whether the back end is taken to have begun an attempt that failed.
+// likelyBegan reports whether the backend likely began to run a failed attempt.
 func (t *try) likelyBegan(err error) bool {
 	return likelyBegan(err, t.forwarder.latencies.usual(t.route.Name))
 }
 
-// noteSending adds to the fields of a failed attempt's line what tells whether it began.
+// addSendFields adds to the log fields of a failed attempt what tells whether it began.
 func (t *try) noteSending(fields eventlog.Fields, err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) || failure.Fate != upstream.Unknown {
@@ -79,10 +79,10 @@
 	fields[eventlog.Receipt], fields[eventlog.LikelyBegan] = failure.Receipt.String(), t.likelyBegan(err)
 }
 
-// sending is when a call left this process. It is safe for concurrent use.
+// sendTime is when a call left this process, if it did. It is safe for concurrent use.
 type sending struct{ at atomic.Pointer[time.Time] }
 
-// follow makes a call tell when it leaves the process: once it is admitted.
+// watch makes call record its send time: the moment after it passed the admission gate.
 func (s *sending) follow(call *upstream.Call) {
 	admit := call.Admit
 	call.Admit = func() error {
@@ -95,14 +95,14 @@
 	}
 }
 
-// noteSent records a call under way that this node ends, if it was sent.
+// recordAborted records a pending call that this node aborts, if it was sent.
 func (t *try) noteSent(s *sending) {
 	if at := s.at.Load(); at != nil {
 		t.noteUnanswered(*at)
 	}
 }
 
-// beganAt returns when the request began to run and what tells it, zero if it did not.
+// beganAt returns when the request began to run and the evidence for it, zero if it did not.
 func (t *try) beganAt() (time.Time, Evidence) {
 	switch {
 	case !t.answered.IsZero():
@@ -113,14 +113,14 @@
 	return time.Time{}, ""
 }
 
-// noteBegan records that a back end ran the request from a moment on.
+// recordRun records that a backend ran the request from a moment on.
 func (t *try) noteBegan(moment time.Time) {
 	if t.answered.IsZero() || moment.Before(t.answered) {
 		t.answered = moment
 	}
 }
 
-// noteMaybe records an attempt without an answer that may have run.
+// recordUnanswered records a failed attempt that may have run.
 func (t *try) noteMaybe(err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// noteUnanswered records an attempt without an answer that likely ran.
+// recordLikelyRun records that an attempt without a response likely ran.
 func (t *try) noteUnanswered(sent time.Time) {
 	if t.maybe.IsZero() || sent.Before(t.maybe) {
 		t.maybe = sent
--- a/internal/gatewaynode/forward/began_test.go
+++ b/internal/gatewaynode/forward/began_test.go
@@ -16,7 +16,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// Each row is an attempt without an answer, and whether its back end is taken to have begun.
+// TestLikelyBegan checks which failed attempts count as begun.
 func TestLikelyBegan(t *testing.T) {
 	const far = 80 * time.Millisecond
 	lost := func(after, roundTrip time.Duration) error {
@@ -38,32 +38,32 @@
 		want  bool
 	}{
 		{"reset at once", lost(100*time.Microsecond, 50*time.Microsecond), 0, false},
-		{"reset, processes wait", lost(unreadMost, 50*time.Microsecond), 0, false},
-		{"reset at work", lost(unreadMost+time.Millisecond, 50*time.Microsecond), 0, true},
-		{"reset before an answer usually comes", lost(3*unreadMost, 50*time.Microsecond), 4 * unreadMost, false},
-		{"reset after an answer usually comes", lost(5*unreadMost, 50*time.Microsecond), 4 * unreadMost, true},
+		{"reset while the process may wait for a CPU", lost(unreadMost, 50*time.Microsecond), 0, false},
+		{"reset while the backend works", lost(unreadMost+time.Millisecond, 50*time.Microsecond), 0, true},
+		{"reset before the usual latency", lost(3*unreadMost, 50*time.Microsecond), 4 * unreadMost, false},
+		{"reset after the usual latency", lost(5*unreadMost, 50*time.Microsecond), 4 * unreadMost, true},
 		{"reset after a long silence", lost(quietMost+time.Millisecond, 50*time.Microsecond), unreadMost, false},
-		{"reset at once, heard since", heard(0), unreadMost, true},
-		{"reset after long, heard since", heard(time.Minute), unreadMost, true},
+		{"reset at once, data received", heard(0), unreadMost, true},
+		{"reset after a long time, data received", heard(time.Minute), unreadMost, true},
 		{"closed after a long silence, read whole", closed(quietMost+time.Millisecond, upstream.ReceiptWhole), unreadMost, false},
-		{"reset, far away", lost(far+unreadMost, far), 0, false},
-		{"reset at work, far away", lost(2*far+unreadMost, far), 0, true},
+		{"reset within a long round trip", lost(far+unreadMost, far), 0, false},
+		{"reset after a long round trip", lost(2*far+unreadMost, far), 0, true},
 		{"closed at once, read whole", closed(0, upstream.ReceiptWhole), 0, true},
 		{"closed late, unread", closed(time.Second, upstream.ReceiptPartial), 0, false},
-		{"ended by this node at once", ended(upstream.EndGivenUp, 0), 0, true},
-		{"ended by this node", ended(upstream.EndGivenUp, time.Second), 0, true},
-		{"bytes that are no answer", ended(upstream.EndUnusable, time.Millisecond), 0, true},
+		{"aborted by this node at once", ended(upstream.EndGivenUp, 0), 0, true},
+		{"aborted by this node", ended(upstream.EndGivenUp, time.Second), 0, true},
+		{"malformed response", ended(upstream.EndUnusable, time.Millisecond), 0, true},
 		{"not sent", &upstream.Error{Fate: upstream.NotSent, Cause: context.Canceled}, 0, false},
 		{"not run", &upstream.Error{Fate: upstream.NotRun, Cause: context.Canceled, End: upstream.EndNotRun}, 0, false},
-		{"not an attempt's", errors.New("another"), 0, false},
+		{"not an upstream error", errors.New("other"), 0, false},
 	} {
 		if got := likelyBegan(test.err, test.usual); got != test.want {
-			t.Errorf("%s: began %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: likelyBegan = %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// silentStream answers a call with the head of a stream and no event.
+// silentStream is a dialer to a backend that sends the header of a stream and no event.
 func silentStream(ctx context.Context, _, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
@@ -77,8 +77,9 @@
 	return near, ctx.Err()
 }
 
-// TestStreamThatItsCallerLeavesCountsAsBegun: the back end was at work on its first event.
-func TestStreamThatItsCallerLeavesCountsAsBegun(t *testing.T) {
+// TestAbandonedStreamCountsAsBegun checks that a stream counts as begun if its caller leaves
+// before the first event.
+func TestAbandonedStreamCountsAsBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOverload(t, 1, allowed)
 		defer o.close()
@@ -104,9 +105,9 @@
 	})
 }
 
-// TestAttemptThatIsNotSentDoesNotBegin: a caller that leaves while a connection is made
-// leaves nothing that counts.
-func TestAttemptThatIsNotSentDoesNotBegin(t *testing.T) {
+// TestUnsentAttemptDoesNotCountAsBegun checks that an attempt does not count as begun if its
+// caller leaves during the connect.
+func TestUnsentAttemptDoesNotCountAsBegun(t *testing.T) {
 	hang := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/gatewaynode/forward/choose.go
+++ b/internal/gatewaynode/forward/choose.go
@@ -10,35 +10,35 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/fleet"
 )
 
-// Want says what a request needs of a back end.
+// Want describes the requirements of a request for the choice of a backend.
 type Want struct {
-	// Request decides which back ends may get it.
+	// Request determines which backends are eligible.
 	Request eligibility.Request
-	// Tried counts the attempts of this request at each back end.
+	// Tried counts the attempts of this request by backend ID.
 	Tried map[string]int
 }
 
 const (
-	// usualLatency stands for a latency that nothing is known of; those of back ends are
-	// relative to it.
+	// defaultLatency is assumed for a backend without a measured latency. The latencies of
+	// backends are normalized to it.
 	usualLatency = 20 * time.Millisecond
-	// coldSlowdown is how many times slower a cold back end is taken to be: as slow as a
-	// warm one whose slots are all taken, so that it is used once those are.
+	// coldSlowdown is the assumed slowdown of a cold backend: that of a warm one whose slots
+	// are all taken, so that cold backends are used once the warm ones are full.
 	coldSlowdown = 4
-	// openingShare is what a new connection costs, as a share of the usual latency,
-	// beside its round trip. It takes a slot of the back end for a moment and memory of
-	// both. It keeps a node at the back ends that it has connections to while the times
-	// of their answers scatter as they do, and lets it go where they are half as long
-	// again as usual.
+	// connectCost is the cost of a new connection besides its round trip, as a share of
+	// defaultLatency: it briefly takes a slot of the backend, and memory on both sides. It
+	// keeps a node with the backends that it is connected to despite the usual variation of
+	// response times, and lets it switch to one that is faster by about half.
 	openingShare = 0.5
-	// distanceWeight is the part of the distance that counts beside the latency, which
-	// holds the round trip already where it is measured: bytes between zones and regions
-	// have a price.
+	// distanceWeight is the share of the network distance that is added to the latency. A
+	// measured latency already includes the round trip; traffic between zones and regions has
+	// a price besides.
 	distanceWeight = 0.5
 )
 
-// Choose returns the back end that is expected to answer first of those that may get
-// the request: tried least by it, not suspended unless all are.
+// Choose returns the eligible backend with the fewest attempts of this request and, of those,
+// the shortest expected response time. A suspended backend is chosen only if there is no
+// other.
 func Choose(backends []fleet.Backend, want Want, world *eligibility.World) (fleet.Backend, bool) {
 	var best fleet.Backend
 	found := false
@@ -71,8 +71,8 @@
 	return a.Reach.Order < b.Reach.Order
 }
 
-// expected estimates the time of an answer: the usual latency, stretched by the
-// load in work and more by what waits for a slot, and what it takes to get there.
+// expectedLatency estimates the response time of a backend: its latency, scaled by its load
+// and more so by its queue, plus the network distance and the cost of a new connection.
 func expected(backend fleet.Backend, now time.Time) time.Duration {
 	latency := backend.Latency
 	distance := backend.Reach.Distance.Duration()
@@ -94,15 +94,15 @@
 	return estimate
 }
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop holds the header fields that concern a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true,
 }
 
-// HopByHop tells whether a field of a header concerns one connection only: it
-// is one of the fixed set, or named by the header's Connection field.
+// HopByHop reports whether a header field concerns a single connection: it is one of the
+// fixed set or named by the header's Connection field.
 func HopByHop(name string, header http.Header) bool {
 	if hopByHop[name] {
 		return true
--- a/internal/gatewaynode/forward/choose_test.go
+++ b/internal/gatewaynode/forward/choose_test.go
@@ -20,8 +20,8 @@
 	return b
 }
 
-// away puts a back end into another zone.
-func away(b *fleet.Backend) { b.Reach.Distance = 2 }
+// otherZone puts a backend into another zone.
+func otherZone(b *fleet.Backend) { b.Reach.Distance = 2 }
 
 func suspended(d time.Duration) func(*fleet.Backend) {
 	return func(b *fleet.Backend) { b.SuspendedUntil = chooseNow.Add(d) }
@@ -37,14 +37,14 @@
 		pick string
 	}{
 		{"none", nil, Want{}, ""},
-		{"only leaving ones", []fleet.Backend{candidate("a", func(b *fleet.Backend) { b.Draining = true })}, Want{}, ""},
-		{"own zone", []fleet.Backend{candidate("a", away), candidate("b", nil)}, Want{}, "b"},
-		{"another zone rather than a slow one", []fleet.Backend{candidate("a", away), candidate("b", func(b *fleet.Backend) { b.Latency = 80 * time.Millisecond })}, Want{}, "a"},
-		{"another zone rather than a full one", []fleet.Backend{candidate("a", away), candidate("b", func(b *fleet.Backend) { b.InFlight = 4 })}, Want{}, "a"},
+		{"only draining ones", []fleet.Backend{candidate("a", func(b *fleet.Backend) { b.Draining = true })}, Want{}, ""},
+		{"own zone", []fleet.Backend{candidate("a", otherZone), candidate("b", nil)}, Want{}, "b"},
+		{"another zone rather than a slow one", []fleet.Backend{candidate("a", otherZone), candidate("b", func(b *fleet.Backend) { b.Latency = 80 * time.Millisecond })}, Want{}, "a"},
+		{"another zone rather than a full one", []fleet.Backend{candidate("a", otherZone), candidate("b", func(b *fleet.Backend) { b.InFlight = 4 })}, Want{}, "a"},
 		{"suspended only if all are", []fleet.Backend{candidate("a", suspended(time.Second)), candidate("b", func(b *fleet.Backend) { b.Latency = time.Second })}, Want{}, "b"},
-		{"the one that is suspended for the shortest", []fleet.Backend{candidate("a", suspended(2*time.Second)), candidate("b", suspended(time.Second))}, Want{}, "b"},
-		{"not the one that was tried", []fleet.Backend{candidate("a", nil), candidate("b", suspended(time.Second))}, Want{Tried: map[string]int{"a": 1}}, "b"},
-		{"tried if there is no other", []fleet.Backend{candidate("a", nil)}, Want{Tried: map[string]int{"a": 1}}, "a"},
+		{"the one whose suspension ends first", []fleet.Backend{candidate("a", suspended(2*time.Second)), candidate("b", suspended(time.Second))}, Want{}, "b"},
+		{"untried one first", []fleet.Backend{candidate("a", nil), candidate("b", suspended(time.Second))}, Want{Tried: map[string]int{"a": 1}}, "b"},
+		{"tried one if there is no other", []fleet.Backend{candidate("a", nil)}, Want{Tried: map[string]int{"a": 1}}, "a"},
 		{"a warm one rather than a cold one", []fleet.Backend{candidate("a", cold), candidate("b", func(b *fleet.Backend) { b.Latency = 60 * time.Millisecond })}, Want{}, "b"},
 		{"a cold one if the warm ones are full", []fleet.Backend{candidate("a", cold), candidate("b", func(b *fleet.Backend) { b.InFlight, b.Waiting = 4, 2 })}, Want{}, "a"},
 		{"holds the model", []fleet.Backend{candidate("a", func(b *fleet.Backend) { b.Models = map[string]int64{"n": 1} }), candidate("b", func(b *fleet.Backend) { b.Models = map[string]int64{"m": 1} })}, Want{Request: eligibility.Request{Model: "m"}}, "b"},
@@ -52,7 +52,7 @@
 	for _, test := range cases {
 		got, found := Choose(test.pool, test.want, &eligibility.World{Now: chooseNow})
 		if found != (test.pick != "") || got.ID != test.pick {
-			t.Errorf("%s: %q, want %q", test.name, got.ID, test.pick)
+			t.Errorf("%s: chose %q, want %q", test.name, got.ID, test.pick)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 		"X-Mine": true, "X-Other": false, "Content-Type": false, "Date": false,
 	} {
 		if got := HopByHop(name, header); got != want {
-			t.Errorf("%s: %t", name, got)
+			t.Errorf("HopByHop(%q) = %t, want %t", name, got, want)
 		}
 	}
 }
--- a/internal/gatewaynode/forward/eligible.go
+++ b/internal/gatewaynode/forward/eligible.go
@@ -9,7 +9,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// wants returns what decides which back ends may get the request now.
+// wants returns the properties of the request that determine which backends are eligible now.
 func (t *try) wants() eligibility.Request {
 	wants := eligibility.Request{Regions: t.regions(), Model: t.request.Model}
 	if !t.trial {
@@ -18,8 +18,8 @@
 	return wants
 }
 
-// regions returns where the request may be served: where it might when it came, and may by
-// the configuration in force. A stream can outlive several of these.
+// regions returns the regions that may serve the request: those allowed when it arrived and
+// also by the configuration in force, which may change during a stream.
 func (t *try) regions() place.Regions {
 	if t.forwarder.config.Regions == nil {
 		return t.request.Regions
@@ -27,8 +27,8 @@
 	return t.request.Regions.Intersect(t.forwarder.config.Regions(t.route.Name, t.request.Tenant))
 }
 
-// noteWithheld takes note of an attempt that this node kept back: that says nothing of
-// the back end, and is no attempt.
+// recordWithheld records an attempt that this node did not send after all. It says nothing
+// about the backend and does not count as an attempt.
 func (t *try) noteWithheld(backend fleet.Backend, err error) {
 	t.sends--
 	t.withheld++
@@ -39,7 +39,7 @@
 	})
 }
 
-// survey says how the back ends stand to the request.
+// survey counts the service's backends by eligibility for the request.
 func (t *try) survey(now time.Time) eligibility.Survey {
 	return t.forwarder.config.Gate.World(now).Survey(t.forwarder.config.Fleet.Service(t.service, now), t.wants())
 }
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -1,19 +1,18 @@
-// Package forward passes a caller's request on to a back end and the answer
-// back, unchanged.
+// Package forward sends a caller's request to a backend and returns the backend's response
+// unchanged.
 //
 // A request ends in exactly one of these ways:
 //
-//	answered   a back end's answer, whole, as it was given
-//	refused    503 with Retry-After: it has not run and never will
-//	failed     502 or 504: it may have run
-//	broken     the connection is cut: an answer that began cannot be finished
-//	left       the caller went away; every run was ended
+//	answered   the complete response of a backend was returned as it was
+//	refused    503 with Retry-After: the request has not run and never will
+//	failed     502 or 504: the request may have run
+//	broken     a response that was partly sent cannot be completed: the connection is cut
+//	left       the caller left: every attempt was aborted
 //
-// A request that must not be repeated is sent again only if the attempt before
-// was not sent or not run. Others are sent again after any failure, and once
-// more beside a slow attempt, within the route's attempts. An answer is kept
-// back until it is whole, unless it is a stream or long, so that a cut answer
-// is never passed on as a whole one.
+// A request that must not be repeated is retried only if the attempt before was not sent or
+// not run. Others are retried after any failure, and hedged once if an attempt is slow, within
+// the route's number of attempts. A response is buffered until it is complete, so that a
+// truncated one is never passed on as complete; streams and long responses are not.
 package forward
 
 import (
@@ -34,22 +33,22 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// Request is a caller's request as it was read.
+// Request is a parsed request of a caller.
 type Request struct {
 	ID     string
 	Method string
 	Target string
 	Host   string
-	// Header holds what goes on to the back end.
+	// Header holds the fields to send to the backend.
 	Header http.Header
 	Body   []byte
-	// Model is the model that has to answer, empty if any.
+	// Model is the model that the backend has to hold, empty for any.
 	Model string
-	// Tenant is on whose behalf the request is made, empty for nobody's.
+	// Tenant is the tenant on whose behalf the request is made, empty for none.
 	Tenant string
-	// Regions are those that might serve it when it came.
+	// Regions are the regions that were allowed to serve the request when it arrived.
 	Regions place.Regions
-	// Rank is that of the request among others at the back ends, 0 the highest.
+	// Rank is the priority rank of the request at the backends, 0 the highest.
 	Rank     int
 	Received time.Time
 	// Deadline is when the caller stops waiting.
@@ -59,7 +58,7 @@
 // Outcome is how a request ended.
 type Outcome string
 
-// The outcomes.
+// The outcomes, described in the package comment.
 const (
 	OutcomeAnswered Outcome = "answered"
 	OutcomeRefused  Outcome = "refused"
@@ -68,7 +67,7 @@
 	OutcomeLeft     Outcome = "left"
 )
 
-// Report tells how a request ended, for logs and metrics.
+// Report describes how a request ended, for logs and metrics.
 type Report struct {
 	Outcome  Outcome
 	Status   int
@@ -76,19 +75,17 @@
 	Attempts int
 	Backend  string
 	Took     time.Duration
-	// Tenant is on whose behalf the request was made.
+	// Tenant is the tenant on whose behalf the request was made.
 	Tenant string
-	// Reasons counts, of a refused request, the back ends that may not get it by the label
-	// of the reason.
+	// Reasons counts, for a refused request, the ineligible backends by the label of the
+	// reason.
 	Reasons map[string]int
-	// Began is when the first back end that took the request began to run it, as well
-	// as it can be told, zero if none did. Back ends do not tell the moment. It is
-	// taken for the one at which the attempt was sent that an answer came to or, of a
-	// stream, at which its first event came; a request without any answer counts from
-	// the first attempt that likely ran, see likelyBegan. A request that ran at several
-	// back ends counts once.
+	// Began is an estimate of when the request began to run at the first backend that took
+	// it, zero if none did. Backends do not report the time. It is the send time of the
+	// attempt that got a response or, for a stream, the arrival of its first event. Without
+	// any response it is the send time of the first attempt that likely ran, see likelyBegan.
 	Began time.Time
-	// BeganBy is what tells that it began, empty if it did not.
+	// BeganBy is the evidence that the request began to run, empty if it did not.
 	BeganBy Evidence
 }
 
@@ -96,44 +93,44 @@
 type Config struct {
 	Client *upstream.Client
 	Fleet  *fleet.Fleet
-	// Gate decides which back ends may get a request.
+	// Gate decides which backends are eligible for a request.
 	Gate         *eligibility.Gate
 	Log          *eventlog.Log
 	Reach        Reach
 	VersionField string
-	// Regions returns where the configuration in force allows the requests of a tenant on a
-	// route to be served; nil allows every region.
+	// Regions returns the regions in which the configuration in force allows the requests of
+	// a tenant on a route to be served; nil allows every region.
 	Regions func(route, tenant string) place.Regions
-	// WorkOf returns the fingerprint of a request; nil follows none.
+	// WorkOf returns the fingerprint of a request; nil disables fingerprints.
 	WorkOf func(fingerprint.Input) fingerprint.Fingerprint
-	// Trials gives quarantined requests out for a trial; it is nil if WorkOf is.
+	// Trials allows trial runs of quarantined requests; it is nil if WorkOf is.
 	Trials Trials
-	// Observe is told how each request ended; it may be nil.
+	// Observe is called with the report of each request; it may be nil.
 	Observe func(kind routetable.Kind, report Report)
 }
 
-// Trials says when quarantined requests may be sent on.
+// Trials decides when quarantined requests may run.
 type Trials interface {
-	// Try tells whether this node may send a quarantined work on once. It asks the store if
-	// that may be.
+	// Try reports whether this node may send a request with a quarantined fingerprint once. It
+	// may query the store.
 	Try(ctx context.Context, work fingerprint.Fingerprint) bool
-	// Retry returns after what time a quarantined work may come back.
+	// Retry returns how long the caller of a quarantined request should wait before it retries.
 	Retry(work fingerprint.Fingerprint) time.Duration
 }
 
-// Reach tells how back ends can be reached.
+// Reach knows the network distances and idle connections to backends.
 type Reach interface {
-	// Fill tells back ends how they can be reached now.
+	// Fill sets the Reach field of each backend.
 	Fill(backends []fleet.Backend, now time.Time)
 }
 
-// Forwarder passes requests on. It is safe for concurrent use.
+// Forwarder forwards requests to backends. It is safe for concurrent use.
 type Forwarder struct {
 	config    Config
 	sequence  atomic.Uint64
 	offset    float64
 	latencies latencies
-	// allowed is replaced by tests that compare it with others.
+	// latencyBudget is replaced by tests that compare admission policies.
 	allowed func(Ask) time.Duration
 	urgency urgency
 }
@@ -144,15 +141,16 @@
 }
 
 const (
-	// bufferMost is the largest answer that is kept back until it is whole.
+	// maxBufferedBody is the size in bytes up to which a response body is buffered until it is
+	// complete.
 	bufferMost = 1 << 20
-	// refusalsMost bounds the refusals by back ends that one request survives, and
-	// refusalsRoomy those while most places are free: some back ends refuse whatever they
-	// could do, and a caller must not be refused because of them.
+	// maxRefusals bounds the backends' refusals of one request, and maxRefusalsSpare those
+	// while there is spare capacity: some backends refuse regardless of their load, and a
+	// request must not fail because of them.
 	refusalsMost  = 6
 	refusalsRoomy = 20
-	// withheldMost bounds the attempts of one request that were kept back since what was
-	// believed changed, or others took the turn, between the choice and the sending.
+	// maxWithheld bounds the attempts of one request that this node withholds since the
+	// chosen backend became ineligible between the choice and the send.
 	withheldMost = 8
 )
 
@@ -192,7 +190,7 @@
 	return report
 }
 
-// workOf returns the fingerprint of a request.
+// fingerprintOf returns the fingerprint of a request.
 func (f *Forwarder) workOf(request *Request) fingerprint.Fingerprint {
 	if f.config.WorkOf == nil {
 		return fingerprint.Fingerprint{}
@@ -235,7 +233,7 @@
 	f.config.Log.Warn(event, fields)
 }
 
-// try is one request on its way.
+// exchange is the state of one request from its arrival to its response.
 type try struct {
 	// ctx ends when the caller leaves.
 	ctx       context.Context
@@ -243,41 +241,41 @@
 	request   *Request
 	route     *routetable.Route
 	service   string
-	// limit is when the request ends, by the steady clock; began, from when on time away
-	// is taken off it.
+	// limit is when the request ends by the monotonic clock, which stops while the machine is
+	// suspended. Time suspended since began is subtracted from it, see endTime.
 	limit time.Time
 	began clock.Mark
-	// work is what the request asks for, whatever its id.
+	// fingerprint identifies equal requests, whatever their IDs.
 	work fingerprint.Fingerprint
-	// trial tells that the request is the one that may find out whether its work still ends
-	// what runs it.
+	// trial marks the request that may run although its fingerprint is quarantined, to find
+	// out whether it still terminates backends.
 	trial bool
 
-	// sends counts attempts that may have run; refusals those that did not.
+	// sends counts attempts that may have run, refusals those that certainly did not.
 	sends    int
 	refusals int
-	// admitted tells that admission was decided on; room is after what time there should
-	// be room if the request was not admitted.
+	// admitted tells that the admission decision was made. capacityDelay is the estimated
+	// time until there is capacity if the request was not admitted.
 	admitted bool
 	room     time.Duration
-	// roomy tells whether half of the places of the back ends were free and nothing waited
-	// then.
+	// spareCapacity is the result of HasSpareCapacity at the admission decision.
 	roomy bool
-	// withheld counts attempts that this node kept back itself.
+	// withheld counts attempts that this node itself did not send after all.
 	withheld  int
 	uncertain bool
 	tried     map[string]int
 	cause     string
-	// unanswered is when the last attempt was sent that has no answer, zero if none is.
+	// unansweredAt is when the last attempt without a response was sent, zero if none was.
 	unanswered time.Time
-	// last is the back end that was tried last.
+	// last is the backend of the last attempt.
 	last string
-	// answered is when the first attempt was sent that a back end answered, or its first
-	// event came; maybe is that of the first one without an answer that likely ran.
+	// answeredAt is when the first attempt that got a response was sent or, for a stream, when
+	// the first event arrived. likelyRunAt is the send time of the first attempt without a
+	// response that likely ran.
 	answered, maybe time.Time
 }
 
-// repeatable tells whether the request may run more than once.
+// repeatable reports whether the request may run more than once.
 func (t *try) repeatable() bool {
 	switch t.route.Kind {
 	case routetable.KindSafe:
@@ -289,7 +287,7 @@
 	}
 }
 
-// attemptsMost is the number of attempts that may run.
+// maxAttempts returns the number of attempts that may run.
 func (t *try) attemptsMost() int {
 	if t.trial {
 		return 1
@@ -297,14 +295,15 @@
 	return max(t.route.MaxAttempts, 1)
 }
 
-// ends returns when the request's time is over: back ends are told, and no attempt is begun
-// later. Its context, which the steady clock ends, ends later where the machine was away.
+// endTime returns when the request ends, taking into account time for which the machine was
+// suspended. Backends are told this deadline, and no attempt starts after it. The context of
+// the request follows the monotonic clock and ends later after a suspension.
 func (t *try) ends() time.Time { return t.limit.Add(-t.began.Since()) }
 
-// maySend tells whether one more attempt is allowed.
+// maySend reports whether one more attempt is allowed.
 func (t *try) maySend() bool {
 	if ends := t.ends(); ends.Before(t.limit) && !time.Now().Before(ends) {
-		// The time was over while the machine was away; the context does not know.
+		// The deadline passed while the machine was suspended; the context has not ended yet.
 		return false
 	}
 	if t.sends >= t.attemptsMost() || t.refusals >= t.refusalsMost() || t.withheld >= withheldMost {
@@ -313,7 +312,7 @@
 	return !t.uncertain || t.repeatable()
 }
 
-// refusalsMost is how many refusals by back ends the request survives.
+// maxRefusals returns the number of refusals by backends that end the request.
 func (t *try) refusalsMost() int {
 	if t.roomy {
 		return refusalsRoomy
@@ -321,7 +320,7 @@
 	return refusalsMost
 }
 
-// choose returns the back end for the next attempt.
+// choose returns the backend for the next attempt.
 func (t *try) choose(now time.Time) (fleet.Backend, bool) {
 	backends, world := t.forwarder.config.Fleet.Service(t.service, now), t.forwarder.config.Gate.World(now)
 	if !t.admit(backends, world) {
@@ -334,7 +333,7 @@
 	}, world)
 }
 
-// call returns the call of an attempt.
+// call returns the upstream call of an attempt.
 func (t *try) call(backend fleet.Backend) *upstream.Call {
 	return &upstream.Call{
 		ID: t.request.ID, Method: t.request.Method, Target: t.request.Target, Host: t.request.Host,
@@ -344,8 +343,8 @@
 		Admit:   func() error { return t.forwarder.config.Gate.Admit(backend.ID, t.wants()) },
 		Purpose: upstream.PurposeLive,
 		Work:    t.work,
-		// An idle connection may be closing just now; a request that must not be
-		// repeated could not be sent again after that.
+		// The backend may be closing an idle connection at this moment, after which a request
+		// that must not be repeated could not be sent again.
 		Fresh: !t.repeatable(), ProvenSince: t.unanswered,
 	}
 }
@@ -359,7 +358,7 @@
 	t.cause = err.Error()
 	now := time.Now()
 	if t.ctx.Err() != nil {
-		// The caller left, which ended the attempt: that says nothing of the back end.
+		// The caller left, which aborted the attempt: that says nothing about the backend.
 		t.uncertain = t.uncertain || fate == upstream.Unknown
 		t.noteMaybe(err)
 		return
@@ -377,7 +376,7 @@
 		t.uncertain = true
 		t.noteMaybe(err)
 		if errors.Is(err, upstream.ErrQuarantined) {
-			// That says nothing of the back end.
+			// This node aborted the call because of what it asks for, not because of the backend.
 			break
 		}
 		if errors.Is(err, errQueued) {
@@ -387,9 +386,9 @@
 		t.forwarder.config.Fleet.ObserveFailure(backend.ID, t.cause, now)
 	}
 	if fate == upstream.NotSent && t.tried[backend.ID] > 1 {
-		// Said already; the line of the request's end counts them. Where a service is gone
-		// whole, one request may try each of its back ends several times in 30 ms, and
-		// their lines would crowd out those of attempts that ran.
+		// Already logged. If all backends of a service are down, one request may try each of
+		// them several times, and the lines would crowd out those of attempts that ran. The
+		// line at the end of the request counts the refusals.
 		return
 	}
 	fields := eventlog.Fields{
@@ -400,7 +399,7 @@
 	t.forwarder.config.Log.Warn(eventlog.AttemptFailed, fields)
 }
 
-// refusedPause is how long a back end that refused a request is passed over.
+// refusalPause is how long a backend that refused a request is suspended.
 const refusedPause = 50 * time.Millisecond
 
 func observeLoad(backends *fleet.Fleet, id string, meta upstream.Meta) {
--- a/internal/gatewaynode/forward/latency.go
+++ b/internal/gatewaynode/forward/latency.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// latencies learns how long whole answers of each route usually take. Back ends have one
-// latency for all routes, which says little of a route where some are answered in no time.
-// It is safe for concurrent use.
+// latencies keeps moving averages of the response times of each route. The latency of a
+// backend, which is one for all routes, says little about routes that differ from the rest. It
+// is safe for concurrent use.
 type latencies struct {
 	mu      *sync.Mutex
 	byRoute map[string]time.Duration
-	// free holds how long answers take of back ends that had a free place.
+	// free holds the response times of backends that had a free slot.
 	free map[string]time.Duration
 }
 
@@ -20,13 +20,13 @@
 }
 
 const (
-	// latencyWeight is the weight of a new answer in the moving average.
+	// latencyWeight is the weight of a new response in the moving average.
 	latencyWeight = 0.1
-	// routesMost is how many routes are kept apart; a configuration adds and drops them.
+	// maxRoutes bounds the number of routes kept, since routes come and go with configurations.
 	routesMost = 1000
 )
 
-// observe takes the time of a whole answer, and whether its back end had a free place.
+// observe records the time of a complete response and whether its backend had a free slot.
 func (l latencies) observe(route string, took time.Duration, free bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// learn takes a measurement into the moving average of a route.
+// learn updates the moving average of a route.
 func learn(averages map[string]time.Duration, route string, took time.Duration) {
 	before, known := averages[route]
 	switch {
@@ -47,25 +47,25 @@
 	}
 }
 
-// work returns how long an answer of a route takes of a back end with a free place, 0 if
-// that is not known.
+// serviceTime returns the response time of a route at backends with a free slot, 0 if not
+// known.
 func (l latencies) work(route string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.free[route]
 }
 
-// usual returns how long an answer of a route usually takes, 0 if it is not known.
+// usual returns the usual response time of a route, 0 if not known.
 func (l latencies) usual(route string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byRoute[route]
 }
 
-// relative returns what an answer of a route says of its back end: how long it would have
-// taken, had it been one of those that take usualLatency. Routes whose answers take long
-// by themselves, or end with their time, say nothing against who gave them, and those
-// whose answers take next to no time say little: a connect doubles it.
+// normalized returns the response time scaled to a route that usually takes defaultLatency, as
+// a measure of the backend alone. So routes that always take long do not count against the
+// backend. Adding defaultLatency to both times damps the noise of very fast routes, whose
+// time a single connect doubles.
 func (l latencies) relative(route string, took time.Duration) time.Duration {
 	usual := l.usual(route)
 	if usual <= 0 {
--- a/internal/gatewaynode/forward/latency_test.go
+++ b/internal/gatewaynode/forward/latency_test.go
@@ -7,50 +7,50 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// TestSecondAttemptWaitsForTheRoutesOwnLatency: answers of a route that take no time say
-// nothing of another one at the same back ends.
-func TestSecondAttemptWaitsForTheRoutesOwnLatency(t *testing.T) {
+// TestHedgeDelayFollowsRouteLatency checks that a fast route does not shorten the hedge delay
+// of another route at the same backends.
+func TestHedgeDelayFollowsRouteLatency(t *testing.T) {
 	f := New(Config{})
 	route := func(name string) *try {
 		return &try{forwarder: f, route: &routetable.Route{Name: name, Target: 200 * time.Millisecond}}
 	}
 	if delay := route("page").hedgeDelay(); delay != 100*time.Millisecond {
-		t.Errorf("nothing known: %s, want half of the target", delay)
+		t.Errorf("no latency known: delay %s, want half of the target", delay)
 	}
 	for range 50 {
 		f.latencies.observe("probe", time.Millisecond, true)
 		f.latencies.observe("page", 25*time.Millisecond, true)
 	}
 	if delay := route("page").hedgeDelay(); delay < 70*time.Millisecond || delay > 80*time.Millisecond {
-		t.Errorf("page: %s, want three times 25ms", delay)
+		t.Errorf("page: delay %s, want three times 25ms", delay)
 	}
 	if delay := route("probe").hedgeDelay(); delay != hedgeLeast {
-		t.Errorf("probe: %s, want %s", delay, hedgeLeast)
+		t.Errorf("probe: delay %s, want %s", delay, hedgeLeast)
 	}
 	for range 50 {
 		f.latencies.observe("page", 400*time.Millisecond, true)
 	}
 	if delay := route("page").hedgeDelay(); delay != 100*time.Millisecond {
-		t.Errorf("slow pages: %s, want half of the target", delay)
+		t.Errorf("slow pages: delay %s, want half of the target", delay)
 	}
 }
 
-// TestLongRoutesSayNothingAgainstABackEnd: answers that end with the time of their route
-// would have a node go to another back end after each.
-func TestLongRoutesSayNothingAgainstABackEnd(t *testing.T) {
+// TestNormalizedLatency checks that responses of a slow route do not count against their
+// backend: the node would otherwise switch to another backend after each.
+func TestNormalizedLatency(t *testing.T) {
 	l := newLatencies()
 	for range 20 {
-		if got := l.relative("ends with its time", 400*time.Millisecond); got != usualLatency {
-			t.Fatalf("a usual answer of a long route counts as %s", got)
+		if got := l.relative("slow", 400*time.Millisecond); got != usualLatency {
+			t.Fatalf("usual response of a slow route: normalized to %s, want %s", got, usualLatency)
 		}
-		l.observe("ends with its time", 400*time.Millisecond, true)
+		l.observe("slow", 400*time.Millisecond, true)
 	}
 	l.observe("page", 25*time.Millisecond, true)
 	if got := l.relative("page", 160*time.Millisecond); got != 4*usualLatency {
-		t.Errorf("an answer that took 135 ms longer than 25 ms counts as %s", got)
+		t.Errorf("response in 160 ms on a route that takes 25 ms: normalized to %s", got)
 	}
 	l.observe("probe", time.Millisecond, true)
 	if got := l.relative("probe", 3*time.Millisecond); got > 5*usualLatency/4 {
-		t.Errorf("an answer in 3 ms where 1 ms is usual counts as %s", got)
+		t.Errorf("response in 3 ms on a route that takes 1 ms: normalized to %s", got)
 	}
 }
--- a/internal/gatewaynode/forward/linger_test.go
+++ b/internal/gatewaynode/forward/linger_test.go
@@ -9,7 +9,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-func TestAttemptsOutliveAnAnswerForAMoment(t *testing.T) {
+func TestAttemptsLingerAfterResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		attempts, end := lingering(ctx)
@@ -17,11 +17,11 @@
 		cancel()
 		time.Sleep(upstream.Linger - time.Millisecond)
 		if attempts.Err() != nil {
-			t.Error("cut at once")
+			t.Error("attempts ended before upstream.Linger")
 		}
 		time.Sleep(2 * time.Millisecond)
 		if attempts.Err() == nil {
-			t.Error("goes on for good")
+			t.Error("attempts continue after upstream.Linger")
 		}
 	})
 }
@@ -33,28 +33,24 @@
 		cancel()
 		synctest.Wait()
 		if attempts.Err() == nil {
-			t.Error("they go on")
+			t.Error("attempts continue after the caller left")
 		}
 		end()
 	})
 }
 
-// endingContext is a context that has ended and has not called yet what is to be called
-// after its end.
+// endingContext is a context that has ended but has not started its AfterFuncs.
 type endingContext struct{ context.Context }
 
-// AfterFunc is what context.AfterFunc asks of a context that is not the library's own.
+// AfterFunc implements the interface that context.AfterFunc uses for foreign contexts.
 func (endingContext) AfterFunc(func()) func() bool { return func() bool { return true } }
 
-// Value hides the library's context underneath.
+// Value hides the wrapped context from the context package, which would bypass AfterFunc.
 func (endingContext) Value(any) any { return nil }
 
-// A request sees the end of its context and ends before the context has told the attempts.
-// They went on for upstream.Linger then: stop said that the attempts were not told, which
-// was taken for a request that had ended by itself. In platform's
-// TestCallerThatLeavesEndsTheRun, whose trace stands there, that order came in 18 of 3,600
-// runs; here it always does.
-func TestAttemptsEndWithARequestThatSeesTheEndFirst(t *testing.T) {
+// TestAttemptsEndBeforeAfterFuncRuns checks that attempts end at once if the request sees the
+// end of its context before the context has started its AfterFuncs.
+func TestAttemptsEndBeforeAfterFuncRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		attempts, end := lingering(endingContext{ctx})
@@ -62,7 +58,7 @@
 		end()
 		synctest.Wait()
 		if attempts.Err() == nil {
-			t.Error("they go on after the caller left")
+			t.Error("attempts continue after the request ended")
 		}
 	})
 }
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -27,7 +27,7 @@
 	"github.com/sliplift/sliplift/internal/memnet"
 )
 
-// queueCodec carries the id, the time left and the load.
+// queueCodec carries the request ID, the remaining time and the load in header fields.
 type queueCodec struct{}
 
 func (queueCodec) Encode(call *upstream.Call, now time.Time) http.Header {
@@ -42,21 +42,24 @@
 
 const (
 	queueSlots = 3
-	// queueMost is how many requests wait at a back end at most.
+	// queueMost is the length of a full queue, at which a backend refuses requests.
 	queueMost = 24
+	// queueWork is the mean service time.
 	queueWork = 25 * time.Millisecond
 )
 
-// queue is a back end with places and a queue in order of arrival.
+// queue is a backend with a limited number of slots and a FIFO queue.
 type queue struct {
 	mu      sync.Mutex
 	waiting int
 	running int
 	slots   chan struct{}
-	// shed answers that a request has not run, whatever the load.
+	// shed makes the backend refuse every request.
 	shed bool
 }
 
+// count changes the numbers of waiting and running requests. It returns the load to report,
+// and full if a request to wait is refused.
 func (q *queue) count(waiting, running int) (load string, full bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,7 +104,7 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// overload is back ends with queues, and nodes.
+// overload is a cluster of queueing backends and of nodes that forward to them.
 type overload struct {
 	queues     []*queue
 	forwarders []*Forwarder
@@ -114,7 +117,7 @@
 	overloadDeadline = 800 * time.Millisecond
 )
 
-// routeOf returns a route of a rank and a target.
+// routeOf returns a route with a priority rank and a latency target.
 func routeOf(rank int, target time.Duration) *routetable.Route {
 	return &routetable.Route{
 		Name: fmt.Sprint("rank", rank), Kind: routetable.KindSafe, Splits: []routetable.Split{{Service: "s", Weight: 1}},
@@ -153,8 +156,8 @@
 		})
 		log := eventlog.New(logger, io.Discard)
 		logs = append(logs, log)
-		way := reach.New(fmt.Sprint("n", i), place.NewDistances(place.Place{}, place.Map{}), client)
-		forwarder := New(Config{Client: client, Fleet: backends, Gate: gate, Reach: way, Log: log})
+		reachability := reach.New(fmt.Sprint("n", i), place.NewDistances(place.Place{}, place.Map{}), client)
+		forwarder := New(Config{Client: client, Fleet: backends, Gate: gate, Reach: reachability, Log: log})
 		forwarder.allowed = allowed
 		o.forwarders = append(o.forwarders, forwarder)
 	}
@@ -172,14 +175,14 @@
 	return o
 }
 
-// seen is what one caller saw.
+// seen is the result of one caller.
 type seen struct {
 	status, tries int
 	took          time.Duration
 }
 
-// call is a caller: it waits as it is told, for a third of its time at most, and tries
-// once more.
+// call sends a request as a caller does: if refused, it retries once after the delay in
+// Retry-After, but at most a third of its remaining time.
 func (o *overload) call(route *routetable.Route, id string) seen {
 	began := time.Now()
 	deadline := began.Add(overloadDeadline)
@@ -196,21 +199,21 @@
 	}
 }
 
-// press sends requests for a while, so many times what the back ends can do, and returns
-// what the callers saw, without those of the first second.
-func (o *overload) press(route *routetable.Route, times float64, lasting time.Duration) []seen {
+// press sends requests at a multiple of the backends' capacity and returns the results of the
+// callers, except for those that start in the first second.
+func (o *overload) press(route *routetable.Route, load float64, duration time.Duration) []seen {
 	var mu sync.Mutex
 	var all []seen
 	var group sync.WaitGroup
 	began := time.Now()
-	gap := time.Duration(float64(queueWork) / (overloadBackends * queueSlots) / times)
-	for i := 0; time.Since(began) < lasting; i++ {
-		counts := time.Since(began) > time.Second
+	gap := time.Duration(float64(queueWork) / (overloadBackends * queueSlots) / load)
+	for i := 0; time.Since(began) < duration; i++ {
+		warm := time.Since(began) > time.Second
 		group.Go(func() {
 			got := o.call(route, fmt.Sprint(route.Name, "-", i))
 			mu.Lock()
 			defer mu.Unlock()
-			if counts {
+			if warm {
 				all = append(all, got)
 			}
 		})
@@ -220,7 +223,8 @@
 	return all
 }
 
-// summary is what callers saw on the whole: shares of them, and means.
+// summary aggregates the results of callers. All fields but tries and took, which are means,
+// are shares of the callers.
 type summary struct {
 	inTarget, served, refused, failed, tries float64
 	took                                     time.Duration
@@ -228,106 +232,109 @@
 
 func summarize(all []seen) summary {
 	var s summary
-	for _, one := range all {
+	for _, result := range all {
 		share := 1 / float64(len(all))
 		switch {
-		case one.status == http.StatusOK && one.took <= overloadTarget:
+		case result.status == http.StatusOK && result.took <= overloadTarget:
 			s.inTarget, s.served = s.inTarget+share, s.served+share
-		case one.status == http.StatusOK:
+		case result.status == http.StatusOK:
 			s.served += share
-		case one.status == http.StatusServiceUnavailable:
+		case result.status == http.StatusServiceUnavailable:
 			s.refused += share
 		default:
 			s.failed += share
 		}
-		s.tries += share * float64(one.tries)
-		s.took += one.took / time.Duration(len(all))
+		s.tries += share * float64(result.tries)
+		s.took += result.took / time.Duration(len(all))
 	}
 	return s
 }
 
-// TestWaysUnderOverload compares which requests are let in while more come than can be
-// served: all, those that would be answered at all, those that would be within half of
-// their target, and of these rather those of callers that come back. Which way is used is
-// seen by its callers: in the share of them that is served within the target above all.
-func TestWaysUnderOverload(t *testing.T) {
-	ways := []struct {
+// TestAdmissionPoliciesUnderOverload checks that the policy in use is no worse for callers
+// than the alternatives: to admit all requests, to admit those that can meet their deadline,
+// or to prefer callers that retry. The measures are the shares of callers served, in all and
+// within the target, and the number of tries.
+func TestAdmissionPoliciesUnderOverload(t *testing.T) {
+	policies := []struct {
 		name    string
 		allowed func(Ask) time.Duration
 	}{
 		{"used", allowed},
 		{"all", func(Ask) time.Duration { return time.Hour }},
-		{"answered at all", func(ask Ask) time.Duration { return ask.Left }},
-		{"returned first", func(ask Ask) time.Duration {
+		{"within deadline", func(ask Ask) time.Duration { return ask.Left }},
+		{"retries first", func(ask Ask) time.Duration {
 			if ask.Left < overloadDeadline {
 				return overloadTarget
 			}
 			return allowed(ask)
 		}},
 	}
-	for _, times := range []float64{0.7, 1.3, 3} {
+	for _, load := range []float64{0.7, 1.3, 3} {
 		var used summary
-		for i, way := range ways {
-			if i > 0 && times < 1 {
+		for i, policy := range policies {
+			if i > 0 && load < 1 {
 				continue
 			}
 			synctest.Test(t, func(t *testing.T) {
-				o := newOverload(t, 3, way.allowed)
+				o := newOverload(t, 3, policy.allowed)
 				defer o.close()
 				o.press(routeOf(0, overloadTarget), 0.5, 500*time.Millisecond)
-				got := summarize(o.press(routeOf(0, overloadTarget), times, 3*time.Second))
-				t.Logf("%.1f %-16s in target %.3f served %.3f refused %.3f failed %.3f tries %.2f answer after %3d ms", times, way.name,
+				got := summarize(o.press(routeOf(0, overloadTarget), load, 3*time.Second))
+				t.Logf("load %.1f %-16s in target %.3f served %.3f refused %.3f failed %.3f tries %.2f mean time %3d ms", load, policy.name,
 					got.inTarget, got.served, got.refused, got.failed, got.tries, got.took.Milliseconds())
 				if i == 0 {
 					used = got
 				}
-				// The others still answer what waits when the last caller has come.
-				const chance, queued = 0.05, 0.05
-				if used.inTarget < got.inTarget-chance || used.served < got.served-chance-queued || used.tries > got.tries+4*chance {
-					t.Errorf("%.1f times: %+v, with %s %+v", times, used, way.name, got)
+				// noise covers random variation. queued covers the requests that the other
+				// policies have queued when the last caller starts, and serve afterwards.
+				const noise, queued = 0.05, 0.05
+				if used.inTarget < got.inTarget-noise || used.served < got.served-noise-queued || used.tries > got.tries+4*noise {
+					t.Errorf("load %.1f: %+v in use, %+v with %q", load, used, got, policy.name)
 				}
-				if times < 1 && got.refused > chance/10 {
-					t.Errorf("%s refuses a share of %.3f though there is room", way.name, got.refused)
+				if load < 1 && got.refused > noise/10 {
+					t.Errorf("%q refuses a share of %.3f below capacity", policy.name, got.refused)
 				}
 			})
 		}
 	}
 }
 
-// Requests of two ranks press at the same back ends, those of the lower one with a distant
-// target: the higher one is served no less, and within its target. Where there is room for
-// both, both are served.
+// TestRanksUnderOverload checks that requests of a lower rank with a long target do not
+// displace those of a higher rank at the same backends, and that both are served while there
+// is capacity for both.
 func TestRanksUnderOverload(t *testing.T) {
-	for _, times := range []float64{0.35, 0.7, 1.5} {
+	for _, load := range []float64{0.35, 0.7, 1.5} {
 		synctest.Test(t, func(t *testing.T) {
 			o := newOverload(t, 3, allowed)
 			defer o.close()
-			first, second := routeOf(0, overloadTarget), routeOf(2, 4*overloadTarget)
-			o.press(first, 0.3, 500*time.Millisecond)
-			o.press(second, 0.3, 500*time.Millisecond)
-			others := make(chan summary)
-			go func() { others <- summarize(o.press(second, times, 3*time.Second)) }()
-			got := summarize(o.press(first, times, 3*time.Second))
-			other := <-others
-			t.Logf("%.2f each: first %+v, second %+v", times, got, other)
-			// What back ends told has moved on, so that some wait longer than was expected.
-			const chance, late = 0.05, 0.2
-			if got.served < other.served-chance || got.inTarget < got.served-late {
-				t.Errorf("%.2f times each: first %+v, second %+v", times, got, other)
+			higher, lower := routeOf(0, overloadTarget), routeOf(2, 4*overloadTarget)
+			o.press(higher, 0.3, 500*time.Millisecond)
+			o.press(lower, 0.3, 500*time.Millisecond)
+			lowerResult := make(chan summary)
+			go func() { lowerResult <- summarize(o.press(lower, load, 3*time.Second)) }()
+			gotHigher := summarize(o.press(higher, load, 3*time.Second))
+			gotLower := <-lowerResult
+			t.Logf("load %.2f each: higher rank %+v, lower rank %+v", load, gotHigher, gotLower)
+			// noise covers random variation. late covers requests that wait longer than
+			// estimated, since reported loads are out of date.
+			const noise, late = 0.05, 0.2
+			if gotHigher.served < gotLower.served-noise || gotHigher.inTarget < gotHigher.served-late {
+				t.Errorf("load %.2f each: higher rank %+v, lower rank %+v", load, gotHigher, gotLower)
 			}
-			if times < 0.5 && got.served+other.served < 2-chance {
-				t.Errorf("%.2f times each: first %+v, second %+v", times, got, other)
+			if load < 0.5 && gotHigher.served+gotLower.served < 2-noise {
+				t.Errorf("load %.2f each, below capacity: higher rank %+v, lower rank %+v", load, gotHigher, gotLower)
 			}
 		})
 	}
 }
 
-// No caller is refused while most places are free, whatever some back ends do.
-func TestBackEndsThatRefuseWithFreePlaces(t *testing.T) {
+// TestRefusingBackendWithSpareCapacity checks that no caller is refused while most slots are
+// free, even if one backend refuses every request.
+func TestRefusingBackendWithSpareCapacity(t *testing.T) {
 	full := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: refusalsMost}
-	roomy := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: refusalsMost, roomy: true}
-	if full.maySend() || !roomy.maySend() {
-		t.Errorf("after %d refusals: %t while back ends are full, %t while they have room", refusalsMost, full.maySend(), roomy.maySend())
+	spare := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: refusalsMost, roomy: true}
+	if full.maySend() || !spare.maySend() {
+		t.Errorf("after %d refusals: maySend = %t without spare capacity, %t with it; want false, true", refusalsMost, full.maySend(), spare.maySend())
 	}
 	synctest.Test(t, func(t *testing.T) {
 		o := newOverload(t, 1, allowed)
@@ -335,19 +342,19 @@
 		o.queues[0].shed = true
 		got := summarize(o.press(routeOf(0, overloadTarget), 0.2, 3*time.Second))
 		if got.refused+got.failed > 0 {
-			t.Errorf("one of %d back ends refuses all: %+v", overloadBackends, got)
+			t.Errorf("one of %d backends refuses every request: %+v, want none refused or failed", overloadBackends, got)
 		}
 	})
 }
 
 func TestAdmit(t *testing.T) {
-	const work = 20 * time.Millisecond
+	const serviceTime = 20 * time.Millisecond
 	at := func(inFlight, others, waiting int) func(*fleet.Backend) {
 		return func(b *fleet.Backend) {
 			b.InFlight, b.OthersRunning, b.Waiting, b.LoadAt = inFlight, others, waiting, chooseNow
 		}
 	}
-	ask := Ask{Left: 800 * time.Millisecond, Target: 100 * time.Millisecond, Work: work}
+	ask := Ask{Left: 800 * time.Millisecond, Target: 100 * time.Millisecond, Work: serviceTime}
 	cases := []struct {
 		name    string
 		pool    []fleet.Backend
@@ -355,31 +362,31 @@
 		refused bool
 		room    time.Duration
 	}{
-		{"none", nil, ask, false, 0},
+		{"no backends", nil, ask, false, 0},
 		{"all free", []fleet.Backend{candidate("a", nil)}, ask, false, 0},
-		{"work not known", []fleet.Backend{candidate("a", at(4, 0, 90))}, Ask{Left: time.Second, Target: time.Second}, false, 0},
+		{"service time not known", []fleet.Backend{candidate("a", at(4, 0, 90))}, Ask{Left: time.Second, Target: time.Second}, false, 0},
 		{"full, a short wait", []fleet.Backend{candidate("a", at(4, 0, 3))}, ask, false, 0},
 		{"full, a long wait", []fleet.Backend{candidate("a", at(0, 4, 15))}, ask, true, 50 * time.Millisecond},
-		{"what was told a while ago", []fleet.Backend{candidate("a", func(b *fleet.Backend) {
+		{"outdated load report", []fleet.Backend{candidate("a", func(b *fleet.Backend) {
 			at(0, 4, 15)(b)
 			b.LoadAt = chooseNow.Add(-120 * time.Millisecond)
 		})}, ask, false, 0},
-		{"own requests wait, whatever was told when", []fleet.Backend{candidate("a", func(b *fleet.Backend) {
+		{"own requests wait, outdated load report", []fleet.Backend{candidate("a", func(b *fleet.Backend) {
 			at(19, 0, 0)(b)
 			b.LoadAt = chooseNow.Add(-time.Second)
 		})}, ask, true, 50 * time.Millisecond},
 		{"own requests wait", []fleet.Backend{candidate("a", at(19, 0, 0))}, ask, true, 50 * time.Millisecond},
-		{"own requests wait, as is reported", []fleet.Backend{candidate("a", at(19, 0, 15))}, ask, true, 50 * time.Millisecond},
-		{"a free place elsewhere", []fleet.Backend{candidate("a", at(0, 4, 15)), candidate("b", at(0, 3, 0))}, ask, false, 0},
-		{"half of the places free though one has a queue of this node", []fleet.Backend{candidate("a", at(5, 0, 0)), candidate("b", nil), candidate("c", nil)}, Ask{Left: time.Millisecond, Work: work}, false, 0},
-		{"too little time left", []fleet.Backend{candidate("a", at(0, 4, 7))}, Ask{Left: 30 * time.Millisecond, Target: time.Second, Work: work}, true, 30 * time.Millisecond},
-		{"no target", []fleet.Backend{candidate("a", at(0, 4, 15))}, Ask{Left: time.Second, Work: work}, false, 0},
-		{"work above the target", []fleet.Backend{candidate("a", at(0, 4, 1))}, Ask{Left: time.Second, Target: 10 * time.Millisecond, Work: work}, false, 0},
+		{"own requests wait and are in the report", []fleet.Backend{candidate("a", at(19, 0, 15))}, ask, true, 50 * time.Millisecond},
+		{"a free slot elsewhere", []fleet.Backend{candidate("a", at(0, 4, 15)), candidate("b", at(0, 3, 0))}, ask, false, 0},
+		{"spare capacity, though own requests wait at one", []fleet.Backend{candidate("a", at(5, 0, 0)), candidate("b", nil), candidate("c", nil)}, Ask{Left: time.Millisecond, Work: serviceTime}, false, 0},
+		{"too little time left", []fleet.Backend{candidate("a", at(0, 4, 7))}, Ask{Left: 30 * time.Millisecond, Target: time.Second, Work: serviceTime}, true, 30 * time.Millisecond},
+		{"no target", []fleet.Backend{candidate("a", at(0, 4, 15))}, Ask{Left: time.Second, Work: serviceTime}, false, 0},
+		{"service time above the target", []fleet.Backend{candidate("a", at(0, 4, 1))}, Ask{Left: time.Second, Target: 10 * time.Millisecond, Work: serviceTime}, false, 0},
 	}
 	for _, test := range cases {
 		got := Admit(test.pool, test.ask, allowed(test.ask), chooseNow)
 		if got.Refused != test.refused || got.Room != test.room {
-			t.Errorf("%s: %+v", test.name, got)
+			t.Errorf("%s: %+v, want refused %t, capacity after %s", test.name, got, test.refused, test.room)
 		}
 	}
 }
@@ -399,7 +406,7 @@
 	}
 	for _, test := range cases {
 		if got := ComeBack(test.room, test.left, test.chance); got != test.want {
-			t.Errorf("room after %s, %s left, chance %.1f: %s, want %s", test.room, test.left, test.chance, got, test.want)
+			t.Errorf("capacity after %s, %s left, random %.1f: %s, want %s", test.room, test.left, test.chance, got, test.want)
 		}
 	}
 }
--- a/internal/gatewaynode/forward/regions_test.go
+++ b/internal/gatewaynode/forward/regions_test.go
@@ -11,17 +11,17 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// TestStreamKeepsToRegionsThatWereBoundMeanwhile: a stream whose back end is silent goes
-// on at another, unless the route or tenant has been bound to regions without one.
-func TestStreamKeepsToRegionsThatWereBoundMeanwhile(t *testing.T) {
+// TestStreamFollowsChangedRegions checks that a stream whose backend is silent moves to
+// another one, unless a new configuration restricts the route or tenant to other regions.
+func TestStreamFollowsChangedRegions(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		now      place.Regions
 		attempts int
 	}{
-		{"bound to another region", place.NewRegions("south"), 1},
-		{"bound to no region that route and tenant share", place.NewRegions("south").Intersect(place.NewRegions("north")), 1},
-		{"not bound", place.Regions{}, 2},
+		{"restricted to another region", place.NewRegions("south"), 1},
+		{"route and tenant share no region", place.NewRegions("south").Intersect(place.NewRegions("north")), 1},
+		{"not restricted", place.Regions{}, 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			o := newOverload(t, 1, allowed)
@@ -38,7 +38,7 @@
 			began := time.Now()
 			o.forwarders[0].config.Regions = func(route, tenant string) place.Regions {
 				if route != "stream" || tenant != "lab" {
-					t.Errorf("regions of route %q, tenant %q", route, tenant)
+					t.Errorf("Regions called with route %q, tenant %q", route, tenant)
 				}
 				if time.Since(began) < silenceMost/2 {
 					return place.Regions{}
--- a/internal/gatewaynode/forward/silence_test.go
+++ b/internal/gatewaynode/forward/silence_test.go
@@ -11,19 +11,18 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/routetable"
 )
 
-// TestWaitForAPlaceIsNoFailure: a stream that waits for a place at a back end which is
-// full goes on elsewhere, and the back end is left alone for a moment; one that gets no
-// event of a back end with places counts as a failure of it.
-func TestWaitForAPlaceIsNoFailure(t *testing.T) {
+// TestQueuedStreamIsNoFailure checks that a stream without events counts as a failure of its
+// backend only if the backend has a free slot. A full backend is suspended briefly instead.
+func TestQueuedStreamIsNoFailure(t *testing.T) {
 	for _, test := range []struct {
 		name                       string
 		running, waiting, failures int
 		pause                      time.Duration
 	}{
-		{"places are free", 0, 0, 1, 250 * time.Millisecond},
-		{"it takes the last place", queueSlots - 1, 0, 1, 250 * time.Millisecond},
-		{"all places are taken", queueSlots, 0, 0, refusedPause},
-		{"others wait", queueSlots - 1, 2, 0, refusedPause},
+		{"slots are free", 0, 0, 1, 250 * time.Millisecond},
+		{"stream takes the last slot", queueSlots - 1, 0, 1, 250 * time.Millisecond},
+		{"all slots are taken", queueSlots, 0, 0, refusedPause},
+		{"other requests wait", queueSlots - 1, 2, 0, refusedPause},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			o := newOverload(t, 1, allowed)
@@ -44,11 +43,11 @@
 				ID: "r", Method: http.MethodPost, Target: "/", Received: began, Deadline: began.Add(5 * time.Second),
 			}, route, 1)
 			if took := time.Since(began); took != silenceMost {
-				t.Errorf("%s: given up after %s", test.name, took)
+				t.Errorf("%s: ended after %s, want %s", test.name, took, silenceMost)
 			}
 			b, _ := backends.Get(report.Backend, time.Now())
 			if pause := time.Until(b.SuspendedUntil); b.Failures != test.failures || pause != test.pause {
-				t.Errorf("%s: %d failures, left alone for %s, want %d for %s", test.name, b.Failures, pause, test.failures, test.pause)
+				t.Errorf("%s: %d failures, suspended for %s, want %d for %s", test.name, b.Failures, pause, test.failures, test.pause)
 			}
 		})
 	}
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -16,17 +16,17 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// errSilent says that a back end sent no event for too long.
+// errSilent is the cause of a failure if a backend sent no event for too long.
 var errSilent = fmt.Errorf("no event: %w", upstream.ErrSilent)
 
-// errQueued says that a back end sent no first event for too long while requests waited
-// there: that is no fault of it, nor of the connections to it.
-var errQueued = errors.New("no place at the back end for too long")
+// errQueued is the cause of a failure if a backend sent no first event for too long while it
+// had no free slot. It counts neither against the backend nor against its connections.
+var errQueued = errors.New("backend had no free slot for too long")
 
-// errGap says that a resumed stream did not go on where it should.
-var errGap = errors.New("event is not the next one")
+// errGap means that a resumed stream did not continue with the next event.
+var errGap = errors.New("event ID does not follow the previous one")
 
-// streamState is how far a stream has been passed on.
+// streamState is the progress of a stream towards the caller.
 type streamState struct {
 	writer  http.ResponseWriter
 	flusher http.Flusher
@@ -35,9 +35,9 @@
 	hasLast bool
 }
 
-// stream serves requests that are answered by events: whole events go on as
-// they come. If a back end breaks off and the route allows it, another goes on
-// after the last event; the head stays that of the first.
+// stream serves requests whose response is an event stream, and passes complete events on as
+// they arrive. If a backend fails and the route allows it, the stream resumes at another
+// backend after the last event; the response header stays that of the first backend.
 func (t *try) stream(ctx context.Context, w http.ResponseWriter) Report {
 	state := &streamState{writer: w}
 	state.flusher, _ = w.(http.Flusher)
@@ -59,7 +59,7 @@
 	}
 }
 
-// endStream ends a stream that nobody can go on with.
+// endStream ends a stream that no backend can continue.
 func (t *try) endStream(state *streamState, ended error) Report {
 	if !state.started {
 		if t.sends == 0 && t.refusals == 0 && t.cause == "" {
@@ -70,8 +70,7 @@
 	return Report{Outcome: OutcomeBroken, Cause: t.cause, Backend: t.last}
 }
 
-// streamFrom passes on what one back end sends; done tells that the request
-// has ended.
+// streamFrom passes on the events of one backend. done reports whether the request has ended.
 func (t *try) streamFrom(ctx context.Context, state *streamState, backend fleet.Backend) (Report, bool) {
 	end := t.forwarder.config.Fleet.Begin(backend.ID)
 	defer end()
@@ -101,7 +100,7 @@
 	}
 	if err := t.pump(watchdog, state, backend, answer); err != nil {
 		if ctx.Err() != nil {
-			// The back end was at work, though no event may have come yet.
+			// The backend was working on the request, even if no event has arrived.
 			t.noteUnanswered(answer.Sent)
 			return Report{}, false
 		}
@@ -116,11 +115,11 @@
 	return answer.Status == http.StatusOK && strings.HasPrefix(kind, "text/event-stream")
 }
 
-// passPlain handles an answer that is no stream: a failure, as a rule.
+// relayPlain handles a response that is not an event stream, usually an error.
 func (t *try) passPlain(state *streamState, backend fleet.Backend, answer *upstream.Answer) (Report, bool) {
 	content, err := io.ReadAll(io.LimitReader(answer.Body, bufferMost))
 	if err == nil && state.started {
-		err = errors.New("back end answered " + http.StatusText(answer.Status))
+		err = errors.New("backend responded with " + http.StatusText(answer.Status))
 	}
 	if err != nil {
 		t.noteFailure(backend, answer.Broken(err))
@@ -148,20 +147,19 @@
 	}
 }
 
-// silenceMost bounds the wait for the next event of a stream that could be
-// resumed elsewhere, and for its first one. Callers give a stream up after two seconds
-// without an event at the least: what is left has to do for another back end's first.
+// maxStreamSilence bounds the wait for the first and each further event of a stream that can
+// resume at another backend. Callers abandon a stream after two seconds or more without an
+// event; the time left has to suffice for the first event of the other backend.
 const silenceMost = 1200 * time.Millisecond
 
-// watchdog ends an attempt at a stream that could go on elsewhere once nothing has come
-// for silenceMost.
+// watchdog ends an attempt at a resumable stream if no event arrives for maxStreamSilence.
 type watchdog struct {
 	timer *time.Timer
-	// begun tells that an event has come.
+	// begun tells that an event has arrived.
 	begun atomic.Bool
 }
 
-// watch sets a watchdog on an attempt. It never ends one that could not go on elsewhere.
+// watch starts a watchdog for an attempt. It does not run if the stream cannot be resumed.
 func (t *try) watch(backend string, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{}
 	w.timer = time.AfterFunc(silenceMost, func() {
@@ -177,16 +175,16 @@
 	return w
 }
 
-// queued tells whether a request that is under way at a back end is taken to wait for a
-// place there: others wait, or have all the places.
+// queued reports whether a running request likely waits for a slot at the backend: others wait,
+// or the other running requests take all slots.
 func (t *try) queued(backend string) bool {
 	b, found := t.forwarder.config.Fleet.Get(backend, time.Now())
 	b.InFlight--
 	return found && !free(&b)
 }
 
-// endedBy returns the failure of an attempt with the cause that this node ended it for,
-// if it did.
+// endedBy sets the cause of a failed attempt to the one for which this node ended it, if it
+// did.
 func endedBy(attempt context.Context, err error) error {
 	var failure *upstream.Error
 	cause := context.Cause(attempt)
@@ -196,7 +194,7 @@
 	return err
 }
 
-// pump passes whole events on until the stream's end, which it returns as nil.
+// pump passes complete events on until the end of the stream, for which it returns nil.
 func (t *try) pump(watchdog *watchdog, state *streamState, backend fleet.Backend, answer *upstream.Answer) error {
 	reader := eventstream.NewReader(answer.Body, t.forwarder.config.VersionField)
 	previous := time.Now()
--- a/internal/gatewaynode/forward/subset_test.go
+++ b/internal/gatewaynode/forward/subset_test.go
@@ -12,12 +12,12 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// connections are the idle connections of a fake node.
+// connections counts the idle connections of a fake node by peer.
 type connections map[upstream.Peer]int
 
 func (c connections) Standing() map[upstream.Peer]int { return c }
 
-// sender is a node that sends requests one after the other.
+// sender is a fake node that sends requests.
 type sender struct {
 	fleet       *fleet.Fleet
 	connections connections
@@ -32,20 +32,20 @@
 	return s
 }
 
-// choose returns where the node sends a request.
+// choose returns the backend that the node would send a request to.
 func (s *sender) choose(t *testing.T, now time.Time) fleet.Backend {
 	t.Helper()
 	backends := s.fleet.Service("s", now)
 	s.reach.Fill(backends, now)
 	chosen, found := Choose(backends, Want{}, &eligibility.World{Now: now})
 	if !found {
-		t.Fatal("no back end")
+		t.Fatal("no backend chosen")
 	}
 	return chosen
 }
 
-// send begins a request at a back end, over a connection that stands if there is one; the
-// function returned ends it with the load that the back end tells.
+// send starts a request to a backend, over an idle connection if there is one. The returned
+// function ends the request with the load that the backend reports.
 func (s *sender) send(b fleet.Backend, now time.Time) func(running, waiting int) {
 	peer := upstream.Peer{Address: b.Address, Instance: b.ID}
 	if s.connections[peer] == 0 {
@@ -62,7 +62,7 @@
 	}
 }
 
-// instances returns back ends of a service, by turns in the zones.
+// instances returns backends of a service, distributed round-robin over the zones.
 func instances(count int, zones ...string) []fleet.Instance {
 	made := make([]fleet.Instance, count)
 	for i := range made {
@@ -75,7 +75,7 @@
 
 var threeZones = place.NewMap(map[string]string{"a": "r", "b": "r", "c": "r"})
 
-// round lets each node send so many requests at the same time and counts where they went.
+// round lets each node send a number of concurrent requests and counts them by backend.
 func round(t *testing.T, nodes []*sender, each int, now time.Time, counts map[string]int) {
 	running := make(map[string]int)
 	var ends []func()
@@ -93,6 +93,7 @@
 	}
 }
 
+// TestLoadIsEvenUnderOverload checks that nodes that choose independently spread their load.
 func TestLoadIsEvenUnderOverload(t *testing.T) {
 	backends := instances(17, "a", "b", "c")
 	var nodes []*sender
@@ -110,11 +111,13 @@
 		busiest, total = max(busiest, count), total+count
 	}
 	if mean := float64(total) / float64(len(backends)); float64(busiest) > 1.3*mean {
-		t.Errorf("the busiest back end got %.2f times the mean: %v", float64(busiest)/mean, counts)
+		t.Errorf("the busiest backend got %.2f times the mean: %v", float64(busiest)/mean, counts)
 	}
 }
 
-func TestNodesKeepToFewBackEnds(t *testing.T) {
+// TestNodeReusesConnection checks that a node with one request at a time stays with the
+// backend that it is connected to.
+func TestNodeReusesConnection(t *testing.T) {
 	node := newSender("n", "a", threeZones, instances(300, "a", "b", "c"))
 	counts := make(map[string]int)
 	now := chooseNow
@@ -123,11 +126,11 @@
 		now = now.Add(time.Second)
 	}
 	if node.opened > 1 || len(counts) > 1 {
-		t.Errorf("%d connections to %d back ends for one request at a time", node.opened, len(counts))
+		t.Errorf("%d connections to %d backends for one request at a time, want 1", node.opened, len(counts))
 	}
 }
 
-// settled returns a node that has sent some requests, and where it sends them.
+// settled returns a node that has sent some requests, the backend that it uses, and the time.
 func settled(t *testing.T, backends []fleet.Instance) (*sender, fleet.Backend, time.Time) {
 	t.Helper()
 	node := newSender("n", "a", threeZones, backends)
@@ -139,27 +142,29 @@
 	return node, node.choose(t, now), now
 }
 
-func TestNodeGoesElsewhereAtOnce(t *testing.T) {
+// TestNodeSwitchesAtOnce checks that a node switches to another backend of its zone as soon as
+// the one that it is connected to is unusable or slow.
+func TestNodeSwitchesAtOnce(t *testing.T) {
 	backends := instances(9, "a", "b", "c")
 	for _, test := range []struct {
 		name   string
 		change func(node *sender, kept fleet.Backend, now time.Time)
 	}{
-		{"all that it keeps to have failed", func(node *sender, _ fleet.Backend, now time.Time) {
+		{"all connected backends failed", func(node *sender, _ fleet.Backend, now time.Time) {
 			for peer := range node.connections {
 				node.fleet.ObserveFailure(peer.Instance, "reset", now)
 			}
 		}},
-		{"the one that it keeps to refuses", func(node *sender, kept fleet.Backend, now time.Time) {
+		{"refused", func(node *sender, kept fleet.Backend, now time.Time) {
 			node.fleet.Suspend(kept.ID, "refused", now.Add(time.Second))
 		}},
-		{"the one that it keeps to is gone", func(node *sender, kept fleet.Backend, _ time.Time) {
+		{"removed", func(node *sender, kept fleet.Backend, _ time.Time) {
 			node.fleet.Update(nil, []string{kept.ID})
 		}},
-		{"the one that it keeps to is full", func(node *sender, kept fleet.Backend, now time.Time) {
+		{"full", func(node *sender, kept fleet.Backend, now time.Time) {
 			node.fleet.ObserveLoad(kept.ID, fleet.Load{Running: kept.Slots, Waiting: 3}, now)
 		}},
-		{"the one that it keeps to has become slow", func(node *sender, kept fleet.Backend, _ time.Time) {
+		{"slow", func(node *sender, kept fleet.Backend, _ time.Time) {
 			for range 5 {
 				node.fleet.ObserveLatency(kept.ID, 10*usualLatency)
 			}
@@ -168,26 +173,28 @@
 		node, kept, now := settled(t, backends)
 		test.change(node, kept, now)
 		if next := node.choose(t, now); next.ID == kept.ID || next.Zone != "a" {
-			t.Errorf("%s: goes to %s in zone %s", test.name, next.ID, next.Zone)
+			t.Errorf("%s: switches from %s to %s in zone %s", test.name, kept.ID, next.ID, next.Zone)
 		}
 	}
 }
 
-func TestNodeStaysWhileAnswersScatter(t *testing.T) {
+// TestNodeStaysDespiteSlowResponse checks that a single slow response causes no switch.
+func TestNodeStaysDespiteSlowResponse(t *testing.T) {
 	node, kept, now := settled(t, instances(9, "a", "b", "c"))
 	node.fleet.ObserveLatency(kept.ID, 2*usualLatency)
 	if next := node.choose(t, now); next.ID != kept.ID {
-		t.Errorf("one answer that took twice as long sends it to %s", next.ID)
+		t.Errorf("switches to %s after one response that took twice as long", next.ID)
 	}
 }
 
-func TestFarRegionIsUsedOnceTheNearOneIsFull(t *testing.T) {
+// TestRemoteRegionIsUsedOnceLocalIsFull checks that a node prefers its zone, then its region.
+func TestRemoteRegionIsUsedOnceLocalIsFull(t *testing.T) {
 	zones := place.NewMap(map[string]string{"a": "near", "b": "near", "c": "far"})
 	backends := instances(6, "a", "b", "c")
 	node := newSender("n", "a", zones, backends)
 	now := chooseNow
 	if first := node.choose(t, now); first.Zone != "a" {
-		t.Errorf("a node of zone a begins in zone %s", first.Zone)
+		t.Errorf("a node of zone a starts with zone %s", first.Zone)
 	}
 	fill := func(zone string, waiting int) {
 		for _, b := range backends {
@@ -198,10 +205,10 @@
 	}
 	fill("a", 0)
 	if next := node.choose(t, now); next.Zone != "b" {
-		t.Errorf("with its own zone full it goes to zone %s", next.Zone)
+		t.Errorf("with its own zone full it chooses zone %s", next.Zone)
 	}
 	fill("b", 0)
 	if next := node.choose(t, now); next.Zone != "c" {
-		t.Errorf("with its own region full it goes to zone %s", next.Zone)
+		t.Errorf("with its own region full it chooses zone %s", next.Zone)
 	}
 }
--- a/internal/gatewaynode/forward/urgency.go
+++ b/internal/gatewaynode/forward/urgency.go
@@ -7,38 +7,37 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// urgency learns, for each service and set of regions, within which time the requests of
-// each rank have to be answered, so that those of lower ranks leave them the room for it:
-// back ends may take requests in order of arrival, and a request with a distant target
-// would let a queue grow that no urgent one is let into. It is safe for concurrent use.
+// rankBudgets learns the latency budgets of each rank by service and regions, so that requests
+// of lower ranks leave capacity for those of higher ranks. Backends may serve requests in order
+// of arrival, in which case requests with a long target would build a queue too long for urgent
+// ones to be admitted. It is safe for concurrent use.
 type urgency struct {
 	mu      *sync.Mutex
 	demands map[demander]*[ranks]demand
 }
 
-// demander is what requests have in common that compete for the same back ends.
+// budgetKey identifies requests that compete for the same backends.
 type demander struct {
 	service string
 	regions place.Regions
 }
 
-// demand is the shortest time that requests of a rank had of late.
+// rankBudget is the shortest recent latency budget of a rank.
 type demand struct {
 	within time.Duration
 	at     time.Time
 }
 
 const (
-	// ranks is how many ranks are kept apart; lower ones count as the last.
+	// ranks is the number of ranks kept apart; lower ones count as the last.
 	ranks = 10
-	// demandKept is how long a demand counts after its last request.
+	// budgetTTL is how long a budget counts after the last request with it.
 	demandKept = 5 * time.Second
-	// reserve is the share of what requests of a higher rank may wait that others may
-	// fill. How long an answer takes is known to a tenth or so of each route: with 0.8, a
-	// lower rank was served more than a higher one in 2 of 40 runs at 1.5 times what can be
-	// served for each, with 0.6 in none: 0.04 against 0.62 on the mean.
+	// lowerRankShare is the share of a higher rank's budget that the queue may reach with
+	// requests of lower ranks. Service times are estimated to about a tenth; a share near 1
+	// lets lower ranks displace higher ones under overload.
 	reserve = 0.6
-	// demandersMost is how many services and sets of regions are kept apart.
+	// maxBudgetKeys bounds the number of pairs of service and regions.
 	demandersMost = 1000
 )
 
@@ -46,10 +45,10 @@
 	return urgency{mu: &sync.Mutex{}, demands: make(map[demander]*[ranks]demand)}
 }
 
-// bound takes note of a request of a rank that has to be answered within a time, and
-// returns within which time it may be expected to be answered: the same, or less where
-// requests of higher ranks need it. work is how long the answer itself takes, 0 if that is
-// not known: a request that has less time is late whatever others leave it.
+// bound records the latency budget of a request and returns the budget to apply: the same, or
+// less where recent requests of higher ranks need it. serviceTime is 0 if not known. A budget
+// below the service time is not recorded, since that request is late however much capacity
+// others leave.
 func (u urgency) bound(from demander, rank int, work, within time.Duration, now time.Time) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/gatewaynode/forward/whole.go
+++ b/internal/gatewaynode/forward/whole.go
@@ -12,7 +12,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// attemptResult is what became of one attempt at a whole answer.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	backend fleet.Backend
 	sent    *sending
@@ -22,7 +22,7 @@
 	err     error
 }
 
-// whole serves requests whose answer is kept back until it is complete.
+// whole serves requests whose response is buffered until it is complete.
 func (t *try) whole(ctx context.Context, w http.ResponseWriter) Report {
 	attempts, end := lingering(ctx)
 	defer end()
@@ -30,7 +30,7 @@
 	pending := make(map[*sending]bool)
 	var launched time.Time
 	var spare *attemptResult
-	// beside tells that another attempt is under way: one more is worth a free place only.
+	// A hedge, which runs beside another attempt, is sent only to a backend with a free slot.
 	launch := func(beside bool) bool {
 		backend, found := t.choose(time.Now())
 		if !found || !t.maySend() || beside && !free(&backend) {
@@ -83,7 +83,7 @@
 				launch(true)
 			}
 		case <-ctx.Done():
-			// An answer that is there is given, also late.
+			// A response that has already arrived is returned although the time is over.
 			if ready := readyAnswer(results); ready != nil {
 				t.noteBegan(ready.answer.Sent)
 				return t.pass(w, *ready)
@@ -100,17 +100,17 @@
 	}
 }
 
-// lingering returns a context for attempts that goes on for a moment after the end of a
-// request that ctx has not ended, so that the connection of an attempt which another was
-// quicker than is kept if its answer comes by then.
+// lingering returns a context for attempts. After the request has ended without the end of
+// ctx, attempts may go on for upstream.Linger, so that the connection of an attempt that lost
+// to a faster one can be kept if its response arrives by then.
 func lingering(ctx context.Context) (attempts context.Context, end func()) {
 	attempts, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	return attempts, func() {
 		stop()
 		if ctx.Err() != nil {
-			// That stop kept the function from being called does not tell that ctx goes on: a
-			// context tells of its end before it calls what is to be called after it.
+			// ctx may have ended without having started the AfterFunc yet, in which case stop
+			// prevents the call.
 			cancel(context.Cause(ctx))
 			return
 		}
@@ -118,8 +118,8 @@
 	}
 }
 
-// readyAnswer returns a whole answer among the results that have come, nil if there is
-// none.
+// readyAnswer returns a complete response among the results that have arrived, nil if there
+// is none.
 func readyAnswer(results <-chan attemptResult) *attemptResult {
 	for {
 		select {
@@ -133,7 +133,7 @@
 	}
 }
 
-// settled takes note of a result and tells whether it ends the request.
+// settled records a result and reports whether it ends the request.
 func (t *try) settled(result attemptResult) bool {
 	if result.err != nil {
 		t.noteFailure(result.backend, result.err)
@@ -141,19 +141,19 @@
 	}
 	t.noteBegan(result.answer.Sent)
 	if !result.whole {
-		// A long answer: it has to go on now or never.
+		// A long response is not buffered, so this one has to be passed on now.
 		return true
 	}
 	if result.answer.Status >= http.StatusInternalServerError && t.repeatable() && t.maySend() {
 		t.uncertain = true
-		t.cause = "back end answered " + strconv.Itoa(result.answer.Status)
+		t.cause = "backend responded with status " + strconv.Itoa(result.answer.Status)
 		return false
 	}
 	return true
 }
 
-// attempt sends a call and returns what became of it. It runs beside the rest of the try,
-// of which it changes nothing.
+// attempt sends a call and returns its result. It runs concurrently with the rest of the
+// exchange and must not modify it.
 func (t *try) attempt(ctx context.Context, backend fleet.Backend, call *upstream.Call, sent *sending) attemptResult {
 	started := time.Now()
 	end := t.forwarder.config.Fleet.Begin(backend.ID)
@@ -183,15 +183,14 @@
 }
 
 const (
-	// hedgeLatencies is how many times the usual latency an attempt may take
-	// before a second one is sent beside it.
+	// hedgeLatencies is the delay of a hedge, in multiples of the usual latency.
 	hedgeLatencies = 3
 	hedgeLeast     = 20 * time.Millisecond
-	// hedgeTarget bounds the delay as a share of the route's target.
+	// hedgeTarget bounds the delay of a hedge, as a share of the route's target.
 	hedgeTarget = 0.5
 )
 
-// hedgeDelay returns after which time a second attempt is sent beside the first.
+// hedgeDelay returns the delay after which a second attempt is sent beside the first.
 func (t *try) hedgeDelay() time.Duration {
 	usual := t.forwarder.latencies.usual(t.route.Name)
 	most := time.Duration(hedgeTarget * float64(t.route.Target))
@@ -201,9 +200,8 @@
 	return min(max(hedgeLatencies*usual, hedgeLeast), max(most, hedgeLeast))
 }
 
-// hedgeRest returns how much longer a second attempt waits that would need a new
-// connection: an answer that is late for its route yet far from its target is not worth
-// one.
+// hedgeRest returns how much longer to delay a hedge that needs a new connection: a response
+// that is late for its route but well within its target does not justify one.
 func (t *try) hedgeRest(launched time.Time) time.Duration {
 	now := time.Now()
 	backend, found := t.choose(now)
--- a/internal/gatewaynode/forward/withheld_test.go
+++ b/internal/gatewaynode/forward/withheld_test.go
@@ -12,9 +12,9 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// TestWithheldAttemptsAreTheCause: a request whose attempts were kept back at the moment
-// of sending is refused for that, though by then there is a back end that may get it.
-func TestWithheldAttemptsAreTheCause(t *testing.T) {
+// TestWithheldAttemptIsTheCause checks that a refusal names the reason for which the attempts
+// were withheld, even if a backend has become eligible since.
+func TestWithheldAttemptIsTheCause(t *testing.T) {
 	withheld := &upstream.Error{Fate: upstream.NotSent, Cause: &eligibility.Error{Reason: eligibility.Draining{}}, Withheld: true}
 	for kind, end := range map[routetable.Kind]func(*try) Report{
 		routetable.KindStream: func(tr *try) Report { return tr.endStream(&streamState{writer: httptest.NewRecorder()}, nil) },
@@ -29,7 +29,7 @@
 			}
 			tr.noteFailure(fleet.Backend{Instance: fleet.Instance{ID: "b0"}}, withheld)
 			if report := end(tr); report.Outcome != OutcomeRefused || report.Cause != withheld.Error() {
-				t.Errorf("%s: %s for %q", kind, report.Outcome, report.Cause)
+				t.Errorf("%s: outcome %s, cause %q", kind, report.Outcome, report.Cause)
 			}
 		})
 	}
