--- a/internal/gatewaynode/forward/answer.go
+++ b/internal/gatewaynode/forward/answer.go
@@ -34,6 +34,8 @@
 	return report
 }
 
+// setContentLength sets the length of a complete response. For a HEAD request it is that which
+// the backend sent.
 func setLength(header http.Header, method string, result attemptResult) {
 	length := int64(len(result.content))
 	if method == http.MethodHead && result.answer.Length >= 0 {
@@ -104,11 +106,13 @@
 // since backends terminated while they ran requests like it.
 const causeQuarantined = "back ends ended under requests like it"
 
+// retryAfter returns the Retry-After of a refusal.
 func (t *try) retryAfter(cause string, survey eligibility.Survey, now time.Time) time.Duration {
 	if cause == causeQuarantined {
 		return max(t.forwarder.config.Trials.Retry(t.work), retryLeast)
 	}
-	// A warming backend may accept requests from another node before it accepts one from this node.
+	// If this node's share of the cold backends allows no request before the deadline, that of
+	// another node may: the caller should then retry earlier.
 	if cause == causeNoBackend && survey.Warm > 0 && survey.Warm < t.request.Deadline.Sub(now) {
 		return max(survey.Warm, retryLeast)
 	}
--- a/internal/gatewaynode/forward/choose.go
+++ b/internal/gatewaynode/forward/choose.go
@@ -53,6 +53,7 @@
 	return best, found
 }
 
+// better reports whether a is the better choice of two eligible backends.
 func better(a, b fleet.Backend, want Want, world *eligibility.World) bool {
 	now := world.Now
 	if want.Tried[a.ID] != want.Tried[b.ID] {
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -198,6 +198,7 @@
 	return f.config.WorkOf(fingerprint.Input{Host: request.Host, Target: request.Target, Tenant: request.Tenant, Body: request.Body})
 }
 
+// logReport logs the end of a request.
 func (f *Forwarder) note(t *try, report Report, configVersion int64) {
 	request, route, service := t.request, t.route, t.service
 	event := map[Outcome]string{
@@ -261,10 +262,13 @@
 	// spareCapacity is the result of HasSpareCapacity at the admission decision.
 	roomy bool
 	// withheld counts attempts that this node itself did not send after all.
-	withheld  int
+	withheld int
+	// mayHaveRun tells that an attempt without a final response may have run.
 	uncertain bool
-	tried     map[string]int
-	cause     string
+	// tried counts the attempts by backend ID.
+	tried map[string]int
+	// cause describes the last failure.
+	cause string
 	// unansweredAt is when the last attempt without a response was sent, zero if none was.
 	unanswered time.Time
 	// last is the backend of the last attempt.
@@ -349,6 +353,7 @@
 	}
 }
 
+// recordFailure records a failed attempt and what it says about its backend.
 func (t *try) noteFailure(backend fleet.Backend, err error) {
 	if upstream.Withheld(err) {
 		t.noteWithheld(backend, err)
@@ -402,6 +407,7 @@
 // refusalPause is how long a backend that refused a request is suspended.
 const refusedPause = 50 * time.Millisecond
 
+// observeLoad passes on the load that a backend reported with its response, if it did.
 func observeLoad(backends *fleet.Fleet, id string, meta upstream.Meta) {
 	if meta.HasLoad {
 		backends.ObserveLoad(id, meta.Load(), time.Now())
