--- a/internal/gatewaynode/forward/began.go
+++ b/internal/gatewaynode/forward/began.go
@@ -35,10 +35,10 @@
 // can tell that.
 //
 // A call that this node aborted began, and so did one after which data arrived from the
-// backend, unless the call was only partly read. Other calls whose connection the peer closed
-// are judged by the time until then:
+// backend, unless the call was only partly read. For other calls whose connection the peer
+// closed, the first of these that applies decides:
 //
-//   - a connection that closed late is taken for one lost on a dead link;
+//   - a connection that closed late is taken for one lost on a dead link: not begun;
 //   - a call that was read whole began;
 //   - a reset call began unless the reset came sooner than responses usually do: a proxy in
 //     front of a dead backend resets every connection unread, whereas a backend that crashes
--- a/internal/gatewaynode/forward/eligible.go
+++ b/internal/gatewaynode/forward/eligible.go
@@ -9,7 +9,8 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// wants returns the properties of the request that determine which backends are eligible now.
+// eligibilityRequest returns the properties of the request that determine which backends are
+// eligible now.
 func (t *try) wants() eligibility.Request {
 	wants := eligibility.Request{Regions: t.regions(), Model: t.request.Model}
 	if !t.trial {
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -35,7 +35,7 @@
 	hasLast bool
 }
 
-// stream serves requests whose response is an event stream, and passes complete events on as
+// serveStream serves requests whose response is an event stream, and passes complete events on as
 // they arrive. If a backend fails and the route allows it, the stream resumes at another
 // backend after the last event; the response header stays that of the first backend.
 func (t *try) stream(ctx context.Context, w http.ResponseWriter) Report {
@@ -159,7 +159,7 @@
 	begun atomic.Bool
 }
 
-// watch starts a watchdog for an attempt. It does not run if the stream cannot be resumed.
+// startWatchdog starts a watchdog for an attempt. It does not run if the stream cannot be resumed.
 func (t *try) watch(backend string, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{}
 	w.timer = time.AfterFunc(silenceMost, func() {
--- a/internal/gatewaynode/forward/whole.go
+++ b/internal/gatewaynode/forward/whole.go
@@ -22,7 +22,7 @@
 	err     error
 }
 
-// whole serves requests whose response is buffered until it is complete.
+// serveBuffered serves requests whose response is buffered until it is complete.
 func (t *try) whole(ctx context.Context, w http.ResponseWriter) Report {
 	attempts, end := lingering(ctx)
 	defer end()
