--- a/internal/gatewaynode/coldstart/coldstart.go
+++ b/internal/gatewaynode/coldstart/coldstart.go
@@ -41,7 +41,7 @@
 func (l Limits) Bound() int { return int(l.PerSecond*l.Overage + l.Slack) }
 
 // Enabled reports whether there is a limit.
-func (l Limits) Bounds() bool { return l.PerSecond > 0 }
+func (l Limits) Enabled() bool { return l.PerSecond > 0 }
 
 const (
 	// maxViews is how many views of the membership may be in use at the same time: the one
@@ -84,16 +84,16 @@
 }
 
 // Limiter counts the requests of this node to cold backends. It is safe for concurrent use.
-type Turns struct {
+type Limiter struct {
 	mu   sync.Mutex
 	sent map[string][]time.Time
 }
 
 // NewLimiter returns a Limiter without any requests counted.
-func NewTurns() *Turns { return &Turns{sent: make(map[string][]time.Time)} }
+func NewLimiter() *Limiter { return &Limiter{sent: make(map[string][]time.Time)} }
 
 // Remaining returns how many more requests of a share may be sent to a backend now.
-func (t *Turns) Room(backend string, share int, now time.Time) int {
+func (t *Limiter) Remaining(backend string, share int, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if share == Unbounded {
@@ -104,7 +104,7 @@
 
 // Take counts a request to a backend at the moment of sending and reports whether the share
 // allows it. A request that is not allowed is not counted.
-func (t *Turns) Take(backend string, share int, now time.Time) bool {
+func (t *Limiter) Take(backend string, share int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if share == Unbounded {
@@ -119,7 +119,7 @@
 }
 
 // Next returns when the share allows the next request, the zero time if it never does.
-func (t *Turns) Next(backend string, share int, now time.Time) time.Time {
+func (t *Limiter) Next(backend string, share int, now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	recent := t.recent(backend, now)
@@ -135,7 +135,7 @@
 }
 
 // recent returns the send times within the last window. The lock must be held.
-func (t *Turns) recent(backend string, now time.Time) []time.Time {
+func (t *Limiter) recent(backend string, now time.Time) []time.Time {
 	list := t.sent[backend]
 	for len(list) > 0 && now.Sub(list[0]) >= window {
 		list = list[1:]
--- a/internal/gatewaynode/coldstart/coldstart_test.go
+++ b/internal/gatewaynode/coldstart/coldstart_test.go
@@ -56,7 +56,7 @@
 
 // TestLimiterWindowSlides checks that a share is counted over a sliding window.
 func TestLimiterWindowSlides(t *testing.T) {
-	limiter, start := NewTurns(), time.Unix(100, 0)
+	limiter, start := NewLimiter(), time.Unix(100, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, step := range []struct {
 		ms      int
@@ -66,13 +66,13 @@
 			t.Errorf("Take at %d ms = %t, want %t", step.ms, got, step.allowed)
 		}
 	}
-	if remaining := limiter.Room("b", 2, at(1800)); remaining != 0 {
+	if remaining := limiter.Remaining("b", 2, at(1800)); remaining != 0 {
 		t.Errorf("%d requests remaining at 1800 ms, want 0", remaining)
 	}
 	if next := limiter.Next("b", 2, at(1800)); !next.Equal(at(2200)) {
 		t.Errorf("next request allowed after %s, want 2.2s", next.Sub(start))
 	}
-	if remaining := limiter.Room("b", 2, at(5000)); remaining != 2 {
+	if remaining := limiter.Remaining("b", 2, at(5000)); remaining != 2 {
 		t.Errorf("%d requests remaining at 5000 ms, want 2", remaining)
 	}
 	if limiter.Take("b", 0, at(6000)) || !limiter.Next("b", 0, at(6000)).IsZero() {
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -36,18 +36,18 @@
 // use.
 type Gate struct {
 	config Config
-	turns  *coldstart.Turns
+	turns  *coldstart.Limiter
 }
 
 // NewGate returns a Gate for a configuration.
-func NewGate(config Config) *Gate { return &Gate{config: config, turns: coldstart.NewTurns()} }
+func NewGate(config Config) *Gate { return &Gate{config: config, turns: coldstart.NewLimiter()} }
 
 // World returns a snapshot of the node's state.
 func (g *Gate) World(now time.Time) *World {
 	return &World{
 		Now: now, Held: g.config.Held, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
 		Age: g.config.Age(now), AgeMost: g.config.AgeMost,
-		Turns:    func(b *fleet.Backend) int { return g.turns.Room(b.ID, g.config.Share(b, now), now) },
+		Turns:    func(b *fleet.Backend) int { return g.turns.Remaining(b.ID, g.config.Share(b, now), now) },
 		NextTurn: func(b *fleet.Backend) time.Duration { return g.nextTurn(b, now) },
 	}
 }
--- a/internal/gatewaynode/forward/admit.go
+++ b/internal/gatewaynode/forward/admit.go
@@ -9,20 +9,20 @@
 )
 
 // AdmissionRequest describes a request to the admission decision before its first attempt.
-type Ask struct {
+type AdmissionRequest struct {
 	// Left is the time until the request's deadline. Target is the latency target of its
 	// route, 0 if none is set.
 	Left, Target time.Duration
 	// ServiceTime is how long a backend with a free slot takes to answer on this route, 0 if
 	// not known.
-	Work time.Duration
+	ServiceTime time.Duration
 }
 
 // Admission is the decision on a request before its first attempt.
 type Admission struct {
 	Refused bool
 	// CapacityDelay is the estimated time until the request could be admitted, if refused.
-	Room time.Duration
+	CapacityDelay time.Duration
 }
 
 const (
@@ -37,11 +37,11 @@
 )
 
 // latencyBudget returns the time within which the response to a request has to be expected.
-func allowed(ask Ask) time.Duration {
+func allowed(ask AdmissionRequest) time.Duration {
 	if ask.Target == 0 {
 		return ask.Left
 	}
-	within := max(targetShare*float64(ask.Target), workShare*float64(ask.Work))
+	within := max(targetShare*float64(ask.Target), workShare*float64(ask.ServiceTime))
 	return min(time.Duration(within), ask.Left)
 }
 
@@ -49,19 +49,19 @@
 // latency budget. Under overload it refuses some requests early, so that those admitted are
 // answered within their target instead of all of them late. It refuses none while a backend
 // has a free slot or HasSpareCapacity holds.
-func Admit(backends []fleet.Backend, ask Ask, allowed time.Duration, now time.Time) Admission {
-	if ask.Work == 0 || len(backends) == 0 || Roomy(backends) {
+func Admit(backends []fleet.Backend, ask AdmissionRequest, allowed time.Duration, now time.Time) Admission {
+	if ask.ServiceTime == 0 || len(backends) == 0 || HasSpareCapacity(backends) {
 		return Admission{}
 	}
-	wait := Wait(backends, ask.Work, now)
-	if wait == 0 || ask.Work+wait <= allowed {
+	wait := EstimateWait(backends, ask.ServiceTime, now)
+	if wait == 0 || ask.ServiceTime+wait <= allowed {
 		return Admission{}
 	}
-	return Admission{Refused: true, Room: ask.Work + wait - max(allowed, ask.Work)}
+	return Admission{Refused: true, CapacityDelay: ask.ServiceTime + wait - max(allowed, ask.ServiceTime)}
 }
 
 // HasSpareCapacity reports whether more than half of all slots are free and no request waits.
-func Roomy(backends []fleet.Backend) bool {
+func HasSpareCapacity(backends []fleet.Backend) bool {
 	places, taken := 0, 0
 	for i := range backends {
 		if backends[i].Waiting > 0 {
@@ -75,7 +75,7 @@
 
 // EstimateWait estimates how long one more request would wait for a slot at the backend with
 // the shortest wait.
-func Wait(backends []fleet.Backend, work time.Duration, now time.Time) time.Duration {
+func EstimateWait(backends []fleet.Backend, work time.Duration, now time.Time) time.Duration {
 	shortest := time.Duration(-1)
 	for i := range backends {
 		if wait := waitAt(&backends[i], work, now); shortest < 0 || wait < shortest {
@@ -123,7 +123,7 @@
 // RetryDelay returns how long a refused caller should wait before it retries, given the
 // estimated time until there is capacity and the time left to its deadline. random is in
 // [0, 1] and sets the jitter.
-func ComeBack(room, left time.Duration, chance float64) time.Duration {
+func RetryDelay(room, left time.Duration, chance float64) time.Duration {
 	spread := 1 + comeBackSpread*(2*chance-1)
 	wait := time.Duration(spread * float64(max(room, comeBackLeast)))
 	return max(min(wait, time.Duration(comeBackMost*float64(left))), time.Millisecond)
@@ -140,15 +140,15 @@
 	}
 	t.admitted = true
 	eligible := t.eligible(backends, world)
-	t.roomy = Roomy(eligible)
-	ask := Ask{Left: t.ends().Sub(world.Now), Target: t.route.Target, Work: t.forwarder.latencies.work(t.route.Name)}
+	t.roomy = HasSpareCapacity(eligible)
+	ask := AdmissionRequest{Left: t.ends().Sub(world.Now), Target: t.route.Target, ServiceTime: t.forwarder.latencies.work(t.route.Name)}
 	from := demander{t.service, t.wants().Regions}
-	within := t.forwarder.urgency.bound(from, t.request.Rank, ask.Work, t.forwarder.allowed(ask), world.Now)
+	within := t.forwarder.urgency.bound(from, t.request.Rank, ask.ServiceTime, t.forwarder.allowed(ask), world.Now)
 	admission := Admit(eligible, ask, within, world.Now)
 	if !admission.Refused {
 		return true
 	}
-	t.cause, t.room = causeFull, admission.Room
+	t.cause, t.room = causeFull, admission.CapacityDelay
 	return false
 }
 
@@ -181,11 +181,11 @@
 	}
 	work := t.forwarder.latencies.work(t.route.Name)
 	backends := t.forwarder.config.Fleet.Service(t.service, now)
-	return max(Wait(t.eligible(backends, t.forwarder.config.Gate.World(now)), work, now), refusedPause)
+	return max(EstimateWait(t.eligible(backends, t.forwarder.config.Gate.World(now)), work, now), refusedPause)
 }
 
 // capacityRetryDelay returns how long the caller of a refused request should wait before it
 // retries.
 func (t *try) comeBack(now time.Time) time.Duration {
-	return ComeBack(t.roomAfter(now), t.request.Deadline.Sub(now), rand.Float64())
+	return RetryDelay(t.roomAfter(now), t.request.Deadline.Sub(now), rand.Float64())
 }
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -131,7 +131,7 @@
 	offset    float64
 	latencies latencies
 	// latencyBudget is replaced by tests that compare admission policies.
-	allowed func(Ask) time.Duration
+	allowed func(AdmissionRequest) time.Duration
 	urgency urgency
 }
 
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-func newOverload(t *testing.T, nodes int, allowed func(Ask) time.Duration) *overload {
+func newOverload(t *testing.T, nodes int, allowed func(AdmissionRequest) time.Duration) *overload {
 	network := memnet.NewNetwork()
 	o := &overload{}
 	var servers []*http.Server
@@ -257,12 +257,12 @@
 func TestAdmissionPoliciesUnderOverload(t *testing.T) {
 	policies := []struct {
 		name    string
-		allowed func(Ask) time.Duration
+		allowed func(AdmissionRequest) time.Duration
 	}{
 		{"used", allowed},
-		{"all", func(Ask) time.Duration { return time.Hour }},
-		{"within deadline", func(ask Ask) time.Duration { return ask.Left }},
-		{"retries first", func(ask Ask) time.Duration {
+		{"all", func(AdmissionRequest) time.Duration { return time.Hour }},
+		{"within deadline", func(ask AdmissionRequest) time.Duration { return ask.Left }},
+		{"retries first", func(ask AdmissionRequest) time.Duration {
 			if ask.Left < overloadDeadline {
 				return overloadTarget
 			}
@@ -354,17 +354,17 @@
 			b.InFlight, b.OthersRunning, b.Waiting, b.LoadAt = inFlight, others, waiting, chooseNow
 		}
 	}
-	ask := Ask{Left: 800 * time.Millisecond, Target: 100 * time.Millisecond, Work: serviceTime}
+	ask := AdmissionRequest{Left: 800 * time.Millisecond, Target: 100 * time.Millisecond, ServiceTime: serviceTime}
 	cases := []struct {
 		name    string
 		pool    []fleet.Backend
-		ask     Ask
+		ask     AdmissionRequest
 		refused bool
 		room    time.Duration
 	}{
 		{"no backends", nil, ask, false, 0},
 		{"all free", []fleet.Backend{candidate("a", nil)}, ask, false, 0},
-		{"service time not known", []fleet.Backend{candidate("a", at(4, 0, 90))}, Ask{Left: time.Second, Target: time.Second}, false, 0},
+		{"service time not known", []fleet.Backend{candidate("a", at(4, 0, 90))}, AdmissionRequest{Left: time.Second, Target: time.Second}, false, 0},
 		{"full, a short wait", []fleet.Backend{candidate("a", at(4, 0, 3))}, ask, false, 0},
 		{"full, a long wait", []fleet.Backend{candidate("a", at(0, 4, 15))}, ask, true, 50 * time.Millisecond},
 		{"outdated load report", []fleet.Backend{candidate("a", func(b *fleet.Backend) {
@@ -378,14 +378,14 @@
 		{"own requests wait", []fleet.Backend{candidate("a", at(19, 0, 0))}, ask, true, 50 * time.Millisecond},
 		{"own requests wait and are in the report", []fleet.Backend{candidate("a", at(19, 0, 15))}, ask, true, 50 * time.Millisecond},
 		{"a free slot elsewhere", []fleet.Backend{candidate("a", at(0, 4, 15)), candidate("b", at(0, 3, 0))}, ask, false, 0},
-		{"spare capacity, though own requests wait at one", []fleet.Backend{candidate("a", at(5, 0, 0)), candidate("b", nil), candidate("c", nil)}, Ask{Left: time.Millisecond, Work: serviceTime}, false, 0},
-		{"too little time left", []fleet.Backend{candidate("a", at(0, 4, 7))}, Ask{Left: 30 * time.Millisecond, Target: time.Second, Work: serviceTime}, true, 30 * time.Millisecond},
-		{"no target", []fleet.Backend{candidate("a", at(0, 4, 15))}, Ask{Left: time.Second, Work: serviceTime}, false, 0},
-		{"service time above the target", []fleet.Backend{candidate("a", at(0, 4, 1))}, Ask{Left: time.Second, Target: 10 * time.Millisecond, Work: serviceTime}, false, 0},
+		{"spare capacity, though own requests wait at one", []fleet.Backend{candidate("a", at(5, 0, 0)), candidate("b", nil), candidate("c", nil)}, AdmissionRequest{Left: time.Millisecond, ServiceTime: serviceTime}, false, 0},
+		{"too little time left", []fleet.Backend{candidate("a", at(0, 4, 7))}, AdmissionRequest{Left: 30 * time.Millisecond, Target: time.Second, ServiceTime: serviceTime}, true, 30 * time.Millisecond},
+		{"no target", []fleet.Backend{candidate("a", at(0, 4, 15))}, AdmissionRequest{Left: time.Second, ServiceTime: serviceTime}, false, 0},
+		{"service time above the target", []fleet.Backend{candidate("a", at(0, 4, 1))}, AdmissionRequest{Left: time.Second, Target: 10 * time.Millisecond, ServiceTime: serviceTime}, false, 0},
 	}
 	for _, test := range cases {
 		got := Admit(test.pool, test.ask, allowed(test.ask), chooseNow)
-		if got.Refused != test.refused || got.Room != test.room {
+		if got.Refused != test.refused || got.CapacityDelay != test.room {
 			t.Errorf("%s: %+v, want refused %t, capacity after %s", test.name, got, test.refused, test.room)
 		}
 	}
@@ -405,7 +405,7 @@
 		{time.Second, 0, 0.5, time.Millisecond},
 	}
 	for _, test := range cases {
-		if got := ComeBack(test.room, test.left, test.chance); got != test.want {
+		if got := RetryDelay(test.room, test.left, test.chance); got != test.want {
 			t.Errorf("capacity after %s, %s left, random %.1f: %s, want %s", test.room, test.left, test.chance, got, test.want)
 		}
 	}
--- a/internal/gatewaynode/storenode/coldshares.go
+++ b/internal/gatewaynode/storenode/coldshares.go
@@ -41,7 +41,7 @@
 func (s *coldShares) of(b *fleet.Backend, now time.Time) int {
 	limits := s.node.limits(b.Service)
 	switch {
-	case !limits.Bounds():
+	case !limits.Enabled():
 		return coldstart.Unbounded
 	case !s.node.presence.Counted(now):
 		return 0
