--- a/internal/gatewaynode/coldstart/coldstart.go
+++ b/internal/gatewaynode/coldstart/coldstart.go
@@ -46,10 +46,10 @@
 const (
 	// maxViews is how many views of the membership may be in use at the same time: the one
 	// before a change and the one after it.
-	setsMost = 2
+	maxViews = 2
 	// ownersDivisor is the divisor of the shares that gives the part of the job owners, which
 	// start many requests at once.
-	ownersPart = 2
+	ownersDivisor = 2
 	// window is the length of the sliding window of a share: the limit's second plus an
 	// allowance for varying delays on the way to the backend.
 	window = 1100 * time.Millisecond
@@ -59,25 +59,25 @@
 // backend. nodes is the number of ranked nodes, of which the first owners own jobs. The shares of
 // all ranks add up to half of the limit, rounded down; for a limit of 1 that is 0, since two
 // views of the membership would exceed it.
-func Share(l Limits, place, owners, nodes int) int {
-	all := l.Bound() / setsMost
-	if place < 0 || place >= nodes || all <= 0 {
+func Share(l Limits, rank, owners, nodes int) int {
+	all := l.Bound() / maxViews
+	if rank < 0 || rank >= nodes || all <= 0 {
 		return 0
 	}
 	if owners == 0 || owners >= nodes {
-		return portion(all, place, nodes)
+		return portion(all, rank, nodes)
 	}
-	forOwners := max(all/ownersPart, 1)
-	if place < owners {
-		return portion(forOwners, place, owners)
+	forOwners := max(all/ownersDivisor, 1)
+	if rank < owners {
+		return portion(forOwners, rank, owners)
 	}
-	return portion(all-forOwners, place-owners, nodes-owners)
+	return portion(all-forOwners, rank-owners, nodes-owners)
 }
 
 // portion returns the part at an index when amount is divided among count as evenly as integers
 // allow.
-func portion(amount, place, count int) int {
-	if place < amount%count {
+func portion(amount, index, count int) int {
+	if index < amount%count {
 		return amount/count + 1
 	}
 	return amount / count
@@ -93,36 +93,36 @@
 func NewLimiter() *Limiter { return &Limiter{sent: make(map[string][]time.Time)} }
 
 // Remaining returns how many more requests of a share may be sent to a backend now.
-func (t *Limiter) Remaining(backend string, share int, now time.Time) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *Limiter) Remaining(backend string, share int, now time.Time) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if share == Unbounded {
 		return Unbounded
 	}
-	return max(share-len(t.recent(backend, now)), 0)
+	return max(share-len(l.recent(backend, now)), 0)
 }
 
 // Take counts a request to a backend at the moment of sending and reports whether the share
 // allows it. A request that is not allowed is not counted.
-func (t *Limiter) Take(backend string, share int, now time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *Limiter) Take(backend string, share int, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if share == Unbounded {
 		return true
 	}
-	recent := t.recent(backend, now)
+	recent := l.recent(backend, now)
 	if len(recent) >= share {
 		return false
 	}
-	t.sent[backend] = append(recent, now)
+	l.sent[backend] = append(recent, now)
 	return true
 }
 
 // Next returns when the share allows the next request, the zero time if it never does.
-func (t *Limiter) Next(backend string, share int, now time.Time) time.Time {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	recent := t.recent(backend, now)
+func (l *Limiter) Next(backend string, share int, now time.Time) time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	recent := l.recent(backend, now)
 	switch {
 	case share == Unbounded:
 		return now
@@ -135,15 +135,15 @@
 }
 
 // recent returns the send times within the last window. The lock must be held.
-func (t *Limiter) recent(backend string, now time.Time) []time.Time {
-	list := t.sent[backend]
+func (l *Limiter) recent(backend string, now time.Time) []time.Time {
+	list := l.sent[backend]
 	for len(list) > 0 && now.Sub(list[0]) >= window {
 		list = list[1:]
 	}
 	if len(list) == 0 {
-		delete(t.sent, backend)
+		delete(l.sent, backend)
 		return nil
 	}
-	t.sent[backend] = list
+	l.sent[backend] = list
 	return list
 }
--- a/internal/gatewaynode/forward/answer.go
+++ b/internal/gatewaynode/forward/answer.go
@@ -10,11 +10,11 @@
 )
 
 // relay writes a backend's response to the caller.
-func (t *try) pass(w http.ResponseWriter, result attemptResult) Report {
+func (x *exchange) relay(w http.ResponseWriter, result attemptResult) Report {
 	report := Report{Outcome: OutcomeAnswered, Status: result.answer.Status, Backend: result.backend.ID}
 	copyHeader(w.Header(), result.answer.Header)
-	if result.whole {
-		setLength(w.Header(), t.request.Method, result)
+	if result.complete {
+		setContentLength(w.Header(), x.request.Method, result)
 		w.WriteHeader(result.answer.Status)
 		_, _ = w.Write(result.content)
 		return report
@@ -36,7 +36,7 @@
 
 // setContentLength sets the length of a complete response. For a HEAD request it is that which
 // the backend sent.
-func setLength(header http.Header, method string, result attemptResult) {
+func setContentLength(header http.Header, method string, result attemptResult) {
 	length := int64(len(result.content))
 	if method == http.MethodHead && result.answer.Length >= 0 {
 		length = result.answer.Length
@@ -57,46 +57,46 @@
 
 // giveUp ends a request after its last attempt failed. The request is refused if it certainly
 // has not run, and fails otherwise.
-func (t *try) giveUp(w http.ResponseWriter, ended error) Report {
-	if !t.uncertain {
-		return t.refuse(w, t.cause)
+func (x *exchange) giveUp(w http.ResponseWriter, ended error) Report {
+	if !x.mayHaveRun {
+		return x.refuse(w, x.cause)
 	}
-	status, cause := http.StatusBadGateway, t.cause
+	status, cause := http.StatusBadGateway, x.cause
 	if ended != nil {
-		status, cause = http.StatusGatewayTimeout, t.limitReached()
+		status, cause = http.StatusGatewayTimeout, x.timeoutCause()
 	}
 	Fail(w, status, 0)
-	return Report{Outcome: OutcomeFailed, Status: status, Cause: cause, Backend: t.last}
+	return Report{Outcome: OutcomeFailed, Status: status, Cause: cause, Backend: x.last}
 }
 
 // timeoutCause names the time limit that ended the request.
-func (t *try) limitReached() string {
-	if t.limit.Before(t.request.Deadline) {
-		return "route timeout of " + t.route.Timeout.String() + " exceeded"
+func (x *exchange) timeoutCause() string {
+	if x.limit.Before(x.request.Deadline) {
+		return "route timeout of " + x.route.Timeout.String() + " exceeded"
 	}
 	return "caller's deadline exceeded"
 }
 
 // refuse answers 503 with Retry-After, which promises that the request has not run.
-func (t *try) refuse(w http.ResponseWriter, cause string) Report {
+func (x *exchange) refuse(w http.ResponseWriter, cause string) Report {
 	now := time.Now()
-	survey := t.survey(now)
+	survey := x.survey(now)
 	switch {
 	case survey.Reasons[eligibility.LabelQuarantined] > 0:
 		cause = causeQuarantined
 	case survey.Eligible == 0:
 		cause = causeNoBackend
 	}
-	Fail(w, http.StatusServiceUnavailable, t.retryAfter(cause, survey, now))
+	Fail(w, http.StatusServiceUnavailable, x.retryAfter(cause, survey, now))
 	return Report{Outcome: OutcomeRefused, Status: http.StatusServiceUnavailable, Cause: cause, Reasons: survey.Reasons}
 }
 
 const (
-	retryLeast = 50 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
 	// noBackendRetryShare is the share of the remaining time after which a caller should
 	// retry if there is no backend. Registry entries expire while the store is unreachable
 	// and return with the next heartbeats, which takes longer than a slot takes to become free.
-	retryAbsent = 0.33
+	noBackendRetryShare = 0.33
 )
 
 // causeNoBackend is the cause of a refusal if no backend is known or none is eligible.
@@ -107,19 +107,19 @@
 const causeQuarantined = "back ends ended under requests like it"
 
 // retryAfter returns the Retry-After of a refusal.
-func (t *try) retryAfter(cause string, survey eligibility.Survey, now time.Time) time.Duration {
+func (x *exchange) retryAfter(cause string, survey eligibility.Survey, now time.Time) time.Duration {
 	if cause == causeQuarantined {
-		return max(t.forwarder.config.Trials.Retry(t.work), retryLeast)
+		return max(x.forwarder.config.Trials.Retry(x.fingerprint), minRetryAfter)
 	}
 	// If this node's share of the cold backends allows no request before the deadline, that of
 	// another node may: the caller should then retry earlier.
-	if cause == causeNoBackend && survey.Warm > 0 && survey.Warm < t.request.Deadline.Sub(now) {
-		return max(survey.Warm, retryLeast)
+	if cause == causeNoBackend && survey.Warm > 0 && survey.Warm < x.request.Deadline.Sub(now) {
+		return max(survey.Warm, minRetryAfter)
 	}
 	if cause == causeNoBackend {
-		return max(time.Duration(retryAbsent*float64(t.request.Deadline.Sub(now))), retryLeast)
+		return max(time.Duration(noBackendRetryShare*float64(x.request.Deadline.Sub(now))), minRetryAfter)
 	}
-	return t.comeBack(now)
+	return x.capacityRetryDelay(now)
 }
 
 // Fail writes a response of the node itself, without a body. A positive retryAfter sets
--- a/internal/gatewaynode/forward/began.go
+++ b/internal/gatewaynode/forward/began.go
@@ -23,10 +23,10 @@
 const (
 	// maxUnreadDelay is how long, beyond a round trip, a connection may stay open after a call
 	// was sent on it that the peer never reads: its process may wait for a CPU.
-	unreadMost = 50 * time.Millisecond
+	maxUnreadDelay = 50 * time.Millisecond
 	// maxBackendSilence is how long a backend is assumed to be working on a call without
 	// sending anything, on routes with a shorter usual latency.
-	quietMost = 200 * time.Millisecond
+	maxBackendSilence = 200 * time.Millisecond
 )
 
 // likelyBegan reports whether the backend likely began to run the call that failed with err.
@@ -56,34 +56,34 @@
 		return false
 	case failure.Heard:
 		return true
-	case usual > 0 && after > max(quietMost, hedgeLatencies*usual):
+	case usual > 0 && after > max(maxBackendSilence, hedgeLatencies*usual):
 		return false
 	case failure.Receipt == upstream.ReceiptWhole:
 		return true
 	}
-	return after > max(usual, unreadMost)
+	return after > max(usual, maxUnreadDelay)
 }
 
 // likelyBegan reports whether the backend likely began to run a failed attempt.
-func (t *try) likelyBegan(err error) bool {
-	return likelyBegan(err, t.forwarder.latencies.usual(t.route.Name))
+func (x *exchange) likelyBegan(err error) bool {
+	return likelyBegan(err, x.forwarder.latencies.usual(x.route.Name))
 }
 
 // addSendFields adds to the log fields of a failed attempt what tells whether it began.
-func (t *try) noteSending(fields eventlog.Fields, err error) {
+func (x *exchange) addSendFields(fields eventlog.Fields, err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) || failure.Fate != upstream.Unknown {
 		return
 	}
 	fields[eventlog.AfterMillis] = float64(failure.After) / float64(time.Millisecond)
-	fields[eventlog.Receipt], fields[eventlog.LikelyBegan] = failure.Receipt.String(), t.likelyBegan(err)
+	fields[eventlog.Receipt], fields[eventlog.LikelyBegan] = failure.Receipt.String(), x.likelyBegan(err)
 }
 
 // sendTime is when a call left this process, if it did. It is safe for concurrent use.
-type sending struct{ at atomic.Pointer[time.Time] }
+type sendTime struct{ at atomic.Pointer[time.Time] }
 
 // watch makes call record its send time: the moment after it passed the admission gate.
-func (s *sending) follow(call *upstream.Call) {
+func (s *sendTime) watch(call *upstream.Call) {
 	admit := call.Admit
 	call.Admit = func() error {
 		if err := admit(); err != nil {
@@ -96,47 +96,47 @@
 }
 
 // recordAborted records a pending call that this node aborts, if it was sent.
-func (t *try) noteSent(s *sending) {
+func (x *exchange) recordAborted(s *sendTime) {
 	if at := s.at.Load(); at != nil {
-		t.noteUnanswered(*at)
+		x.recordLikelyRun(*at)
 	}
 }
 
 // beganAt returns when the request began to run and the evidence for it, zero if it did not.
-func (t *try) beganAt() (time.Time, Evidence) {
+func (x *exchange) beganAt() (time.Time, Evidence) {
 	switch {
-	case !t.answered.IsZero():
-		return t.answered, EvidenceAnswer
-	case !t.maybe.IsZero():
-		return t.maybe, EvidenceSent
+	case !x.answeredAt.IsZero():
+		return x.answeredAt, EvidenceAnswer
+	case !x.likelyRunAt.IsZero():
+		return x.likelyRunAt, EvidenceSent
 	}
 	return time.Time{}, ""
 }
 
 // recordRun records that a backend ran the request from a moment on.
-func (t *try) noteBegan(moment time.Time) {
-	if t.answered.IsZero() || moment.Before(t.answered) {
-		t.answered = moment
+func (x *exchange) recordRun(moment time.Time) {
+	if x.answeredAt.IsZero() || moment.Before(x.answeredAt) {
+		x.answeredAt = moment
 	}
 }
 
 // recordUnanswered records a failed attempt that may have run.
-func (t *try) noteMaybe(err error) {
+func (x *exchange) recordUnanswered(err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) {
 		return
 	}
 	if !errors.Is(err, errQueued) {
-		t.unanswered = failure.Sent
+		x.unansweredAt = failure.Sent
 	}
-	if t.likelyBegan(err) {
-		t.noteUnanswered(failure.Sent)
+	if x.likelyBegan(err) {
+		x.recordLikelyRun(failure.Sent)
 	}
 }
 
 // recordLikelyRun records that an attempt without a response likely ran.
-func (t *try) noteUnanswered(sent time.Time) {
-	if t.maybe.IsZero() || sent.Before(t.maybe) {
-		t.maybe = sent
+func (x *exchange) recordLikelyRun(sent time.Time) {
+	if x.likelyRunAt.IsZero() || sent.Before(x.likelyRunAt) {
+		x.likelyRunAt = sent
 	}
 }
--- a/internal/gatewaynode/forward/began_test.go
+++ b/internal/gatewaynode/forward/began_test.go
@@ -38,16 +38,16 @@
 		want  bool
 	}{
 		{"reset at once", lost(100*time.Microsecond, 50*time.Microsecond), 0, false},
-		{"reset while the process may wait for a CPU", lost(unreadMost, 50*time.Microsecond), 0, false},
-		{"reset while the backend works", lost(unreadMost+time.Millisecond, 50*time.Microsecond), 0, true},
-		{"reset before the usual latency", lost(3*unreadMost, 50*time.Microsecond), 4 * unreadMost, false},
-		{"reset after the usual latency", lost(5*unreadMost, 50*time.Microsecond), 4 * unreadMost, true},
-		{"reset after a long silence", lost(quietMost+time.Millisecond, 50*time.Microsecond), unreadMost, false},
-		{"reset at once, data received", heard(0), unreadMost, true},
-		{"reset after a long time, data received", heard(time.Minute), unreadMost, true},
-		{"closed after a long silence, read whole", closed(quietMost+time.Millisecond, upstream.ReceiptWhole), unreadMost, false},
-		{"reset within a long round trip", lost(far+unreadMost, far), 0, false},
-		{"reset after a long round trip", lost(2*far+unreadMost, far), 0, true},
+		{"reset while the process may wait for a CPU", lost(maxUnreadDelay, 50*time.Microsecond), 0, false},
+		{"reset while the backend works", lost(maxUnreadDelay+time.Millisecond, 50*time.Microsecond), 0, true},
+		{"reset before the usual latency", lost(3*maxUnreadDelay, 50*time.Microsecond), 4 * maxUnreadDelay, false},
+		{"reset after the usual latency", lost(5*maxUnreadDelay, 50*time.Microsecond), 4 * maxUnreadDelay, true},
+		{"reset after a long silence", lost(maxBackendSilence+time.Millisecond, 50*time.Microsecond), maxUnreadDelay, false},
+		{"reset at once, data received", heard(0), maxUnreadDelay, true},
+		{"reset after a long time, data received", heard(time.Minute), maxUnreadDelay, true},
+		{"closed after a long silence, read whole", closed(maxBackendSilence+time.Millisecond, upstream.ReceiptWhole), maxUnreadDelay, false},
+		{"reset within a long round trip", lost(far+maxUnreadDelay, far), 0, false},
+		{"reset after a long round trip", lost(2*far+maxUnreadDelay, far), 0, true},
 		{"closed at once, read whole", closed(0, upstream.ReceiptWhole), 0, true},
 		{"closed late, unread", closed(time.Second, upstream.ReceiptPartial), 0, false},
 		{"aborted by this node at once", ended(upstream.EndGivenUp, 0), 0, true},
@@ -81,7 +81,7 @@
 // before the first event.
 func TestAbandonedStreamCountsAsBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOverload(t, 1, allowed)
+		o := newTestCluster(t, 1, latencyBudget)
 		defer o.close()
 		f := o.forwarders[0]
 		f.config.Client = upstream.NewClient(upstream.Config{Codec: queueCodec{}, Dialer: silentStream})
@@ -113,7 +113,7 @@
 		return nil, ctx.Err()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		o := newOverload(t, 1, allowed)
+		o := newTestCluster(t, 1, latencyBudget)
 		defer o.close()
 		f := o.forwarders[0]
 		f.config.Client = upstream.NewClient(upstream.Config{Codec: queueCodec{}, Dialer: hang})
--- a/internal/gatewaynode/forward/whole.go
+++ b/internal/gatewaynode/forward/buffered.go
@@ -14,54 +14,54 @@
 
 // attemptResult is the result of one attempt.
 type attemptResult struct {
-	backend fleet.Backend
-	sent    *sending
-	answer  *upstream.Answer
-	content []byte
-	whole   bool
-	err     error
+	backend  fleet.Backend
+	sent     *sendTime
+	answer   *upstream.Answer
+	content  []byte
+	complete bool
+	err      error
 }
 
 // serveBuffered serves requests whose response is buffered until it is complete.
-func (t *try) whole(ctx context.Context, w http.ResponseWriter) Report {
+func (x *exchange) serveBuffered(ctx context.Context, w http.ResponseWriter) Report {
 	attempts, end := lingering(ctx)
 	defer end()
-	results := make(chan attemptResult, t.attemptsMost()+refusalsRoomy+withheldMost+1)
-	pending := make(map[*sending]bool)
+	results := make(chan attemptResult, x.maxAttempts()+maxRefusalsSpare+maxWithheld+1)
+	pending := make(map[*sendTime]bool)
 	var launched time.Time
-	var spare *attemptResult
+	var fallback *attemptResult
 	// A hedge, which runs beside another attempt, is sent only to a backend with a free slot.
-	launch := func(beside bool) bool {
-		backend, found := t.choose(time.Now())
-		if !found || !t.maySend() || beside && !free(&backend) {
+	launch := func(hedging bool) bool {
+		backend, found := x.choose(time.Now())
+		if !found || !x.maySend() || hedging && !hasFreeSlot(&backend) {
 			return false
 		}
-		t.sends++
-		t.tried[backend.ID]++
-		t.last = backend.ID
+		x.sends++
+		x.tried[backend.ID]++
+		x.last = backend.ID
 		if len(pending) == 0 {
 			launched = time.Now()
 		}
-		call, sent := t.call(backend), &sending{}
-		sent.follow(call)
+		call, sent := x.call(backend), &sendTime{}
+		sent.watch(call)
 		pending[sent] = true
-		go func() { results <- t.attempt(attempts, backend, call, sent) }()
+		go func() { results <- x.attempt(attempts, backend, call, sent) }()
 		return true
 	}
 	if !launch(false) {
-		return t.refuse(w, cmp.Or(t.cause, causeNoBackend))
+		return x.refuse(w, cmp.Or(x.cause, causeNoBackend))
 	}
-	hedge := time.NewTimer(t.hedgeDelay())
+	hedge := time.NewTimer(x.hedgeDelay())
 	defer hedge.Stop()
 	for {
 		select {
 		case result := <-results:
 			delete(pending, result.sent)
-			if t.settled(result) {
-				return t.pass(w, result)
+			if x.settled(result) {
+				return x.relay(w, result)
 			}
 			if result.answer != nil {
-				spare = &result
+				fallback = &result
 			}
 			if ctx.Err() == nil && launch(false) {
 				continue
@@ -69,33 +69,33 @@
 			if len(pending) > 0 {
 				continue
 			}
-			if spare != nil {
-				return t.pass(w, *spare)
+			if fallback != nil {
+				return x.relay(w, *fallback)
 			}
-			return t.giveUp(w, ctx.Err())
+			return x.giveUp(w, ctx.Err())
 		case <-hedge.C:
-			if rest := t.hedgeRest(launched); rest > 0 {
+			if rest := x.hedgeRest(launched); rest > 0 {
 				hedge.Reset(rest)
 				continue
 			}
-			if t.repeatable() {
-				t.unanswered = launched
+			if x.repeatable() {
+				x.unansweredAt = launched
 				launch(true)
 			}
 		case <-ctx.Done():
 			// A response that has already arrived is returned although the time is over.
 			if ready := readyAnswer(results); ready != nil {
-				t.noteBegan(ready.answer.Sent)
-				return t.pass(w, *ready)
+				x.recordRun(ready.answer.Sent)
+				return x.relay(w, *ready)
 			}
-			if spare != nil {
-				return t.pass(w, *spare)
+			if fallback != nil {
+				return x.relay(w, *fallback)
 			}
 			for sent := range pending {
-				t.uncertain = true
-				t.noteSent(sent)
+				x.mayHaveRun = true
+				x.recordAborted(sent)
 			}
-			return t.giveUp(w, ctx.Err())
+			return x.giveUp(w, ctx.Err())
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	for {
 		select {
 		case result := <-results:
-			if result.whole {
+			if result.complete {
 				return &result
 			}
 		default:
@@ -134,19 +134,19 @@
 }
 
 // settled records a result and reports whether it ends the request.
-func (t *try) settled(result attemptResult) bool {
+func (x *exchange) settled(result attemptResult) bool {
 	if result.err != nil {
-		t.noteFailure(result.backend, result.err)
+		x.recordFailure(result.backend, result.err)
 		return false
 	}
-	t.noteBegan(result.answer.Sent)
-	if !result.whole {
+	x.recordRun(result.answer.Sent)
+	if !result.complete {
 		// A long response is not buffered, so this one has to be passed on now.
 		return true
 	}
-	if result.answer.Status >= http.StatusInternalServerError && t.repeatable() && t.maySend() {
-		t.uncertain = true
-		t.cause = "backend responded with status " + strconv.Itoa(result.answer.Status)
+	if result.answer.Status >= http.StatusInternalServerError && x.repeatable() && x.maySend() {
+		x.mayHaveRun = true
+		x.cause = "backend responded with status " + strconv.Itoa(result.answer.Status)
 		return false
 	}
 	return true
@@ -154,30 +154,30 @@
 
 // attempt sends a call and returns its result. It runs concurrently with the rest of the
 // exchange and must not modify it.
-func (t *try) attempt(ctx context.Context, backend fleet.Backend, call *upstream.Call, sent *sending) attemptResult {
+func (x *exchange) attempt(ctx context.Context, backend fleet.Backend, call *upstream.Call, sent *sendTime) attemptResult {
 	started := time.Now()
-	end := t.forwarder.config.Fleet.Begin(backend.ID)
+	end := x.forwarder.config.Fleet.Begin(backend.ID)
 	defer end()
 	result := attemptResult{backend: backend, sent: sent}
-	answer, err := t.forwarder.config.Client.Do(ctx, call)
+	answer, err := x.forwarder.config.Client.Do(ctx, call)
 	if err != nil {
 		result.err = err
 		return result
 	}
-	observeLoad(t.forwarder.config.Fleet, backend.ID, answer.Meta)
-	content, err := io.ReadAll(io.LimitReader(answer.Body, bufferMost+1))
+	observeLoad(x.forwarder.config.Fleet, backend.ID, answer.Meta)
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody+1))
 	if err != nil {
 		_ = answer.Body.Close()
 		result.err = answer.Broken(err)
 		return result
 	}
-	result.answer, result.content, result.whole = answer, content, len(content) <= bufferMost
-	if result.whole {
+	result.answer, result.content, result.complete = answer, content, len(content) <= maxBufferedBody
+	if result.complete {
 		_ = answer.Body.Close()
 		took := time.Since(started)
 		usual := answer.Meta.Load().AsUsual(took)
-		t.forwarder.config.Fleet.ObserveLatency(backend.ID, t.forwarder.latencies.relative(t.route.Name, usual))
-		t.forwarder.latencies.observe(t.route.Name, took, free(&backend))
+		x.forwarder.config.Fleet.ObserveLatency(backend.ID, x.forwarder.latencies.normalized(x.route.Name, usual))
+		x.forwarder.latencies.observe(x.route.Name, took, hasFreeSlot(&backend))
 	}
 	return result
 }
@@ -185,28 +185,28 @@
 const (
 	// hedgeLatencies is the delay of a hedge, in multiples of the usual latency.
 	hedgeLatencies = 3
-	hedgeLeast     = 20 * time.Millisecond
+	minHedgeDelay  = 20 * time.Millisecond
 	// hedgeTarget bounds the delay of a hedge, as a share of the route's target.
 	hedgeTarget = 0.5
 )
 
 // hedgeDelay returns the delay after which a second attempt is sent beside the first.
-func (t *try) hedgeDelay() time.Duration {
-	usual := t.forwarder.latencies.usual(t.route.Name)
-	most := time.Duration(hedgeTarget * float64(t.route.Target))
+func (x *exchange) hedgeDelay() time.Duration {
+	usual := x.forwarder.latencies.usual(x.route.Name)
+	most := time.Duration(hedgeTarget * float64(x.route.Target))
 	if usual == 0 || most == 0 {
-		return max(most, hedgeLeast)
+		return max(most, minHedgeDelay)
 	}
-	return min(max(hedgeLatencies*usual, hedgeLeast), max(most, hedgeLeast))
+	return min(max(hedgeLatencies*usual, minHedgeDelay), max(most, minHedgeDelay))
 }
 
 // hedgeRest returns how much longer to delay a hedge that needs a new connection: a response
 // that is late for its route but well within its target does not justify one.
-func (t *try) hedgeRest(launched time.Time) time.Duration {
+func (x *exchange) hedgeRest(launched time.Time) time.Duration {
 	now := time.Now()
-	backend, found := t.choose(now)
+	backend, found := x.choose(now)
 	if !found || backend.Reach.Idle > 0 {
 		return 0
 	}
-	return time.Duration(hedgeTarget*float64(t.route.Target)) - now.Sub(launched)
+	return time.Duration(hedgeTarget*float64(x.route.Target)) - now.Sub(launched)
 }
--- a/internal/gatewaynode/forward/choose.go
+++ b/internal/gatewaynode/forward/choose.go
@@ -21,7 +21,7 @@
 const (
 	// defaultLatency is assumed for a backend without a measured latency. The latencies of
 	// backends are normalized to it.
-	usualLatency = 20 * time.Millisecond
+	defaultLatency = 20 * time.Millisecond
 	// coldSlowdown is the assumed slowdown of a cold backend: that of a warm one whose slots
 	// are all taken, so that cold backends are used once the warm ones are full.
 	coldSlowdown = 4
@@ -29,7 +29,7 @@
 	// defaultLatency: it briefly takes a slot of the backend, and memory on both sides. It
 	// keeps a node with the backends that it is connected to despite the usual variation of
 	// response times, and lets it switch to one that is faster by about half.
-	openingShare = 0.5
+	connectCost = 0.5
 	// distanceWeight is the share of the network distance that is added to the latency. A
 	// measured latency already includes the round trip; traffic between zones and regions has
 	// a price besides.
@@ -65,7 +65,7 @@
 	if a.Suspended(now) {
 		return a.SuspendedUntil.Before(b.SuspendedUntil)
 	}
-	costA, costB := expected(a, now), expected(b, now)
+	costA, costB := expectedLatency(a, now), expectedLatency(b, now)
 	if costA != costB {
 		return costA < costB
 	}
@@ -74,11 +74,11 @@
 
 // expectedLatency estimates the response time of a backend: its latency, scaled by its load
 // and more so by its queue, plus the network distance and the cost of a new connection.
-func expected(backend fleet.Backend, now time.Time) time.Duration {
+func expectedLatency(backend fleet.Backend, now time.Time) time.Duration {
 	latency := backend.Latency
 	distance := backend.Reach.Distance.Duration()
 	if latency == 0 {
-		latency = usualLatency + distance
+		latency = defaultLatency + distance
 	}
 	waiting := float64(backend.Waiting) / float64(max(backend.Slots, 1))
 	estimate := time.Duration(float64(latency) * backend.ExpectedSlowdown(now) * (1 + backend.Load() + 2*waiting))
@@ -90,7 +90,7 @@
 	}
 	estimate += time.Duration(distanceWeight * float64(distance))
 	if backend.Reach.Idle == 0 {
-		estimate += distance + time.Duration(openingShare*float64(usualLatency))
+		estimate += distance + time.Duration(connectCost*float64(defaultLatency))
 	}
 	return estimate
 }
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -113,9 +113,9 @@
 type Trials interface {
 	// Try reports whether this node may send a request with a quarantined fingerprint once. It
 	// may query the store.
-	Try(ctx context.Context, work fingerprint.Fingerprint) bool
+	Try(ctx context.Context, fp fingerprint.Fingerprint) bool
 	// Retry returns how long the caller of a quarantined request should wait before it retries.
-	Retry(work fingerprint.Fingerprint) time.Duration
+	Retry(fp fingerprint.Fingerprint) time.Duration
 }
 
 // Reach knows the network distances and idle connections to backends.
@@ -131,27 +131,27 @@
 	offset    float64
 	latencies latencies
 	// latencyBudget is replaced by tests that compare admission policies.
-	allowed func(AdmissionRequest) time.Duration
-	urgency urgency
+	latencyBudget func(AdmissionRequest) time.Duration
+	rankBudgets   rankBudgets
 }
 
 // New returns a forwarder.
 func New(config Config) *Forwarder {
-	return &Forwarder{config: config, offset: rand.Float64(), latencies: newLatencies(), allowed: allowed, urgency: newUrgency()}
+	return &Forwarder{config: config, offset: rand.Float64(), latencies: newLatencies(), latencyBudget: latencyBudget, rankBudgets: newRankBudgets()}
 }
 
 const (
 	// maxBufferedBody is the size in bytes up to which a response body is buffered until it is
 	// complete.
-	bufferMost = 1 << 20
+	maxBufferedBody = 1 << 20
 	// maxRefusals bounds the backends' refusals of one request, and maxRefusalsSpare those
 	// while there is spare capacity: some backends refuse regardless of their load, and a
 	// request must not fail because of them.
-	refusalsMost  = 6
-	refusalsRoomy = 20
+	maxRefusals      = 6
+	maxRefusalsSpare = 20
 	// maxWithheld bounds the attempts of one request that this node withholds since the
 	// chosen backend became ineligible between the choice and the send.
-	withheldMost = 8
+	maxWithheld = 8
 )
 
 // Serve answers the request on w. The end of ctx means that the caller left.
@@ -163,18 +163,18 @@
 	}
 	bounded, cancel := context.WithDeadline(ctx, limit)
 	defer cancel()
-	try := &try{
-		ctx: ctx, began: clock.NewMark(), forwarder: f, request: request, route: route, service: service, work: f.workOf(request),
+	try := &exchange{
+		ctx: ctx, began: clock.NewMark(), forwarder: f, request: request, route: route, service: service, fingerprint: f.fingerprintOf(request),
 		limit: limit, tried: make(map[string]int),
 	}
 	if f.config.Trials != nil {
-		try.trial = f.config.Trials.Try(bounded, try.work)
+		try.trial = f.config.Trials.Try(bounded, try.fingerprint)
 	}
 	var report Report
 	if route.Kind == routetable.KindStream {
-		report = try.stream(bounded, w)
+		report = try.serveStream(bounded, w)
 	} else {
-		report = try.whole(bounded, w)
+		report = try.serveBuffered(bounded, w)
 	}
 	if ctx.Err() != nil && report.Outcome != OutcomeAnswered {
 		report.Outcome, report.Cause = OutcomeLeft, context.Cause(ctx).Error()
@@ -183,7 +183,7 @@
 	report.Tenant = request.Tenant
 	report.Began, report.BeganBy = try.beganAt()
 	report.Took = time.Since(request.Received)
-	f.note(try, report, configVersion)
+	f.logReport(try, report, configVersion)
 	if f.config.Observe != nil {
 		f.config.Observe(route.Kind, report)
 	}
@@ -191,7 +191,7 @@
 }
 
 // fingerprintOf returns the fingerprint of a request.
-func (f *Forwarder) workOf(request *Request) fingerprint.Fingerprint {
+func (f *Forwarder) fingerprintOf(request *Request) fingerprint.Fingerprint {
 	if f.config.WorkOf == nil {
 		return fingerprint.Fingerprint{}
 	}
@@ -199,7 +199,7 @@
 }
 
 // logReport logs the end of a request.
-func (f *Forwarder) note(t *try, report Report, configVersion int64) {
+func (f *Forwarder) logReport(t *exchange, report Report, configVersion int64) {
 	request, route, service := t.request, t.route, t.service
 	event := map[Outcome]string{
 		OutcomeAnswered: eventlog.RequestAnswered,
@@ -230,12 +230,12 @@
 		f.config.Log.Info(event, fields)
 		return
 	}
-	fields[eventlog.Work], fields["refusals"] = t.work.String(), t.refusals
+	fields[eventlog.Work], fields["refusals"] = t.fingerprint.String(), t.refusals
 	f.config.Log.Warn(event, fields)
 }
 
 // exchange is the state of one request from its arrival to its response.
-type try struct {
+type exchange struct {
 	// ctx ends when the caller leaves.
 	ctx       context.Context
 	forwarder *Forwarder
@@ -247,7 +247,7 @@
 	limit time.Time
 	began clock.Mark
 	// fingerprint identifies equal requests, whatever their IDs.
-	work fingerprint.Fingerprint
+	fingerprint fingerprint.Fingerprint
 	// trial marks the request that may run although its fingerprint is quarantined, to find
 	// out whether it still terminates backends.
 	trial bool
@@ -257,155 +257,155 @@
 	refusals int
 	// admitted tells that the admission decision was made. capacityDelay is the estimated
 	// time until there is capacity if the request was not admitted.
-	admitted bool
-	room     time.Duration
+	admitted      bool
+	capacityDelay time.Duration
 	// spareCapacity is the result of HasSpareCapacity at the admission decision.
-	roomy bool
+	spareCapacity bool
 	// withheld counts attempts that this node itself did not send after all.
 	withheld int
 	// mayHaveRun tells that an attempt without a final response may have run.
-	uncertain bool
+	mayHaveRun bool
 	// tried counts the attempts by backend ID.
 	tried map[string]int
 	// cause describes the last failure.
 	cause string
 	// unansweredAt is when the last attempt without a response was sent, zero if none was.
-	unanswered time.Time
+	unansweredAt time.Time
 	// last is the backend of the last attempt.
 	last string
 	// answeredAt is when the first attempt that got a response was sent or, for a stream, when
 	// the first event arrived. likelyRunAt is the send time of the first attempt without a
 	// response that likely ran.
-	answered, maybe time.Time
+	answeredAt, likelyRunAt time.Time
 }
 
 // repeatable reports whether the request may run more than once.
-func (t *try) repeatable() bool {
-	switch t.route.Kind {
+func (x *exchange) repeatable() bool {
+	switch x.route.Kind {
 	case routetable.KindSafe:
 		return true
 	case routetable.KindStream:
-		return t.route.Resumable
+		return x.route.Resumable
 	default:
 		return false
 	}
 }
 
 // maxAttempts returns the number of attempts that may run.
-func (t *try) attemptsMost() int {
-	if t.trial {
+func (x *exchange) maxAttempts() int {
+	if x.trial {
 		return 1
 	}
-	return max(t.route.MaxAttempts, 1)
+	return max(x.route.MaxAttempts, 1)
 }
 
-// endTime returns when the request ends, taking into account time for which the machine was
+// endTime returns when the request endTime, taking into account time for which the machine was
 // suspended. Backends are told this deadline, and no attempt starts after it. The context of
-// the request follows the monotonic clock and ends later after a suspension.
-func (t *try) ends() time.Time { return t.limit.Add(-t.began.Since()) }
+// the request follows the monotonic clock and endTime later after a suspension.
+func (x *exchange) endTime() time.Time { return x.limit.Add(-x.began.Since()) }
 
 // maySend reports whether one more attempt is allowed.
-func (t *try) maySend() bool {
-	if ends := t.ends(); ends.Before(t.limit) && !time.Now().Before(ends) {
+func (x *exchange) maySend() bool {
+	if ends := x.endTime(); ends.Before(x.limit) && !time.Now().Before(ends) {
 		// The deadline passed while the machine was suspended; the context has not ended yet.
 		return false
 	}
-	if t.sends >= t.attemptsMost() || t.refusals >= t.refusalsMost() || t.withheld >= withheldMost {
+	if x.sends >= x.maxAttempts() || x.refusals >= x.maxRefusals() || x.withheld >= maxWithheld {
 		return false
 	}
-	return !t.uncertain || t.repeatable()
+	return !x.mayHaveRun || x.repeatable()
 }
 
 // maxRefusals returns the number of refusals by backends that end the request.
-func (t *try) refusalsMost() int {
-	if t.roomy {
-		return refusalsRoomy
+func (x *exchange) maxRefusals() int {
+	if x.spareCapacity {
+		return maxRefusalsSpare
 	}
-	return refusalsMost
+	return maxRefusals
 }
 
 // choose returns the backend for the next attempt.
-func (t *try) choose(now time.Time) (fleet.Backend, bool) {
-	backends, world := t.forwarder.config.Fleet.Service(t.service, now), t.forwarder.config.Gate.World(now)
-	if !t.admit(backends, world) {
+func (x *exchange) choose(now time.Time) (fleet.Backend, bool) {
+	backends, world := x.forwarder.config.Fleet.Service(x.service, now), x.forwarder.config.Gate.World(now)
+	if !x.admit(backends, world) {
 		return fleet.Backend{}, false
 	}
-	t.forwarder.config.Reach.Fill(backends, now)
+	x.forwarder.config.Reach.Fill(backends, now)
 	return Choose(backends, Want{
-		Request: t.wants(),
-		Tried:   t.tried,
+		Request: x.eligibilityRequest(),
+		Tried:   x.tried,
 	}, world)
 }
 
 // call returns the upstream call of an attempt.
-func (t *try) call(backend fleet.Backend) *upstream.Call {
+func (x *exchange) call(backend fleet.Backend) *upstream.Call {
 	return &upstream.Call{
-		ID: t.request.ID, Method: t.request.Method, Target: t.request.Target, Host: t.request.Host,
-		Header: t.request.Header, Body: t.request.Body,
-		Priority: upstream.PriorityOf(t.request.Rank, 0),
-		Address:  backend.Address, Instance: backend.ID, Tenant: t.request.Tenant, Deadline: t.ends(),
-		Admit:   func() error { return t.forwarder.config.Gate.Admit(backend.ID, t.wants()) },
+		ID: x.request.ID, Method: x.request.Method, Target: x.request.Target, Host: x.request.Host,
+		Header: x.request.Header, Body: x.request.Body,
+		Priority: upstream.PriorityOf(x.request.Rank, 0),
+		Address:  backend.Address, Instance: backend.ID, Tenant: x.request.Tenant, Deadline: x.endTime(),
+		Admit:   func() error { return x.forwarder.config.Gate.Admit(backend.ID, x.eligibilityRequest()) },
 		Purpose: upstream.PurposeLive,
-		Work:    t.work,
+		Work:    x.fingerprint,
 		// The backend may be closing an idle connection at this moment, after which a request
 		// that must not be repeated could not be sent again.
-		Fresh: !t.repeatable(), ProvenSince: t.unanswered,
+		Fresh: !x.repeatable(), ProvenSince: x.unansweredAt,
 	}
 }
 
 // recordFailure records a failed attempt and what it says about its backend.
-func (t *try) noteFailure(backend fleet.Backend, err error) {
+func (x *exchange) recordFailure(backend fleet.Backend, err error) {
 	if upstream.Withheld(err) {
-		t.noteWithheld(backend, err)
+		x.recordWithheld(backend, err)
 		return
 	}
 	fate := upstream.FateOf(err)
-	t.cause = err.Error()
+	x.cause = err.Error()
 	now := time.Now()
-	if t.ctx.Err() != nil {
+	if x.ctx.Err() != nil {
 		// The caller left, which aborted the attempt: that says nothing about the backend.
-		t.uncertain = t.uncertain || fate == upstream.Unknown
-		t.noteMaybe(err)
+		x.mayHaveRun = x.mayHaveRun || fate == upstream.Unknown
+		x.recordUnanswered(err)
 		return
 	}
 	switch fate {
 	case upstream.NotRun:
-		t.sends--
-		t.refusals++
-		t.forwarder.config.Fleet.Suspend(backend.ID, "refused", now.Add(refusedPause))
+		x.sends--
+		x.refusals++
+		x.forwarder.config.Fleet.Suspend(backend.ID, "refused", now.Add(refusalPause))
 	case upstream.NotSent:
-		t.sends--
-		t.refusals++
-		t.forwarder.config.Fleet.ObserveFailure(backend.ID, t.cause, now)
+		x.sends--
+		x.refusals++
+		x.forwarder.config.Fleet.ObserveFailure(backend.ID, x.cause, now)
 	default:
-		t.uncertain = true
-		t.noteMaybe(err)
+		x.mayHaveRun = true
+		x.recordUnanswered(err)
 		if errors.Is(err, upstream.ErrQuarantined) {
 			// This node aborted the call because of what it asks for, not because of the backend.
 			break
 		}
 		if errors.Is(err, errQueued) {
-			t.forwarder.config.Fleet.Suspend(backend.ID, "queue", now.Add(refusedPause))
+			x.forwarder.config.Fleet.Suspend(backend.ID, "queue", now.Add(refusalPause))
 			break
 		}
-		t.forwarder.config.Fleet.ObserveFailure(backend.ID, t.cause, now)
+		x.forwarder.config.Fleet.ObserveFailure(backend.ID, x.cause, now)
 	}
-	if fate == upstream.NotSent && t.tried[backend.ID] > 1 {
+	if fate == upstream.NotSent && x.tried[backend.ID] > 1 {
 		// Already logged. If all backends of a service are down, one request may try each of
 		// them several times, and the lines would crowd out those of attempts that ran. The
 		// line at the end of the request counts the refusals.
 		return
 	}
 	fields := eventlog.Fields{
-		eventlog.Request: t.request.ID, eventlog.Backend: backend.ID, eventlog.Fate: fate.String(),
-		eventlog.Cause: t.cause, "in_flight": backend.InFlight, "others": backend.OthersRunning, eventlog.Work: t.work.String(),
+		eventlog.Request: x.request.ID, eventlog.Backend: backend.ID, eventlog.Fate: fate.String(),
+		eventlog.Cause: x.cause, "in_flight": backend.InFlight, "others": backend.OthersRunning, eventlog.Work: x.fingerprint.String(),
 	}
-	t.noteSending(fields, err)
-	t.forwarder.config.Log.Warn(eventlog.AttemptFailed, fields)
+	x.addSendFields(fields, err)
+	x.forwarder.config.Log.Warn(eventlog.AttemptFailed, fields)
 }
 
 // refusalPause is how long a backend that refused a request is suspended.
-const refusedPause = 50 * time.Millisecond
+const refusalPause = 50 * time.Millisecond
 
 // observeLoad passes on the load that a backend reported with its response, if it did.
 func observeLoad(backends *fleet.Fleet, id string, meta upstream.Meta) {
--- a/internal/gatewaynode/forward/latency.go
+++ b/internal/gatewaynode/forward/latency.go
@@ -23,7 +23,7 @@
 	// latencyWeight is the weight of a new response in the moving average.
 	latencyWeight = 0.1
 	// maxRoutes bounds the number of routes kept, since routes come and go with configurations.
-	routesMost = 1000
+	maxRoutes = 1000
 )
 
 // observe records the time of a complete response and whether its backend had a free slot.
@@ -42,14 +42,14 @@
 	switch {
 	case known:
 		averages[route] = before + time.Duration(latencyWeight*float64(took-before))
-	case len(averages) < routesMost:
+	case len(averages) < maxRoutes:
 		averages[route] = took
 	}
 }
 
 // serviceTime returns the response time of a route at backends with a free slot, 0 if not
 // known.
-func (l latencies) work(route string) time.Duration {
+func (l latencies) serviceTime(route string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.free[route]
@@ -66,10 +66,10 @@
 // a measure of the backend alone. So routes that always take long do not count against the
 // backend. Adding defaultLatency to both times damps the noise of very fast routes, whose
 // time a single connect doubles.
-func (l latencies) relative(route string, took time.Duration) time.Duration {
+func (l latencies) normalized(route string, took time.Duration) time.Duration {
 	usual := l.usual(route)
 	if usual <= 0 {
-		return usualLatency
+		return defaultLatency
 	}
-	return time.Duration(float64(usualLatency) * float64(took+usualLatency) / float64(usual+usualLatency))
+	return time.Duration(float64(defaultLatency) * float64(took+defaultLatency) / float64(usual+defaultLatency))
 }
--- a/internal/gatewaynode/forward/latency_test.go
+++ b/internal/gatewaynode/forward/latency_test.go
@@ -11,8 +11,8 @@
 // of another route at the same backends.
 func TestHedgeDelayFollowsRouteLatency(t *testing.T) {
 	f := New(Config{})
-	route := func(name string) *try {
-		return &try{forwarder: f, route: &routetable.Route{Name: name, Target: 200 * time.Millisecond}}
+	route := func(name string) *exchange {
+		return &exchange{forwarder: f, route: &routetable.Route{Name: name, Target: 200 * time.Millisecond}}
 	}
 	if delay := route("page").hedgeDelay(); delay != 100*time.Millisecond {
 		t.Errorf("no latency known: delay %s, want half of the target", delay)
@@ -24,8 +24,8 @@
 	if delay := route("page").hedgeDelay(); delay < 70*time.Millisecond || delay > 80*time.Millisecond {
 		t.Errorf("page: delay %s, want three times 25ms", delay)
 	}
-	if delay := route("probe").hedgeDelay(); delay != hedgeLeast {
-		t.Errorf("probe: delay %s, want %s", delay, hedgeLeast)
+	if delay := route("probe").hedgeDelay(); delay != minHedgeDelay {
+		t.Errorf("probe: delay %s, want %s", delay, minHedgeDelay)
 	}
 	for range 50 {
 		f.latencies.observe("page", 400*time.Millisecond, true)
@@ -40,17 +40,17 @@
 func TestNormalizedLatency(t *testing.T) {
 	l := newLatencies()
 	for range 20 {
-		if got := l.relative("slow", 400*time.Millisecond); got != usualLatency {
-			t.Fatalf("usual response of a slow route: normalized to %s, want %s", got, usualLatency)
+		if got := l.normalized("slow", 400*time.Millisecond); got != defaultLatency {
+			t.Fatalf("usual response of a slow route: normalized to %s, want %s", got, defaultLatency)
 		}
 		l.observe("slow", 400*time.Millisecond, true)
 	}
 	l.observe("page", 25*time.Millisecond, true)
-	if got := l.relative("page", 160*time.Millisecond); got != 4*usualLatency {
+	if got := l.normalized("page", 160*time.Millisecond); got != 4*defaultLatency {
 		t.Errorf("response in 160 ms on a route that takes 25 ms: normalized to %s", got)
 	}
 	l.observe("probe", time.Millisecond, true)
-	if got := l.relative("probe", 3*time.Millisecond); got > 5*usualLatency/4 {
+	if got := l.normalized("probe", 3*time.Millisecond); got > 5*defaultLatency/4 {
 		t.Errorf("response in 3 ms on a route that takes 1 ms: normalized to %s", got)
 	}
 }
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -42,14 +42,14 @@
 
 const (
 	queueSlots = 3
-	// queueMost is the length of a full queue, at which a backend refuses requests.
-	queueMost = 24
-	// queueWork is the mean service time.
-	queueWork = 25 * time.Millisecond
+	// maxQueued is the length of a full queue, at which a backend refuses requests.
+	maxQueued = 24
+	// meanServiceTime is the mean service time.
+	meanServiceTime = 25 * time.Millisecond
 )
 
-// queue is a backend with a limited number of slots and a FIFO queue.
-type queue struct {
+// queueingBackend is a backend with a limited number of slots and a FIFO queueingBackend.
+type queueingBackend struct {
 	mu      sync.Mutex
 	waiting int
 	running int
@@ -60,10 +60,10 @@
 
 // count changes the numbers of waiting and running requests. It returns the load to report,
 // and full if a request to wait is refused.
-func (q *queue) count(waiting, running int) (load string, full bool) {
+func (q *queueingBackend) count(waiting, running int) (load string, full bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if waiting > 0 && (q.waiting >= queueMost || q.shed) {
+	if waiting > 0 && (q.waiting >= maxQueued || q.shed) {
 		return fmt.Sprint(q.running, " ", q.waiting, " ", queueSlots), true
 	}
 	q.waiting += waiting
@@ -71,7 +71,7 @@
 	return fmt.Sprint(q.running, " ", q.waiting, " ", queueSlots), false
 }
 
-func (q *queue) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *queueingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set("Id", r.Header.Get("Id"))
 	left, _ := strconv.ParseInt(r.Header.Get("Left"), 10, 64)
@@ -96,7 +96,7 @@
 	}
 	q.count(-1, 1)
 	select {
-	case <-time.After(queueWork/2 + rand.N(queueWork)):
+	case <-time.After(meanServiceTime/2 + rand.N(meanServiceTime)):
 	case <-r.Context().Done():
 	}
 	load, _ := q.count(0, -1)
@@ -104,9 +104,9 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// overload is a cluster of queueing backends and of nodes that forward to them.
-type overload struct {
-	queues     []*queue
+// testCluster is a cluster of queueing backends and of nodes that forward to them.
+type testCluster struct {
+	queues     []*queueingBackend
 	forwarders []*Forwarder
 	close      func()
 }
@@ -125,12 +125,12 @@
 	}
 }
 
-func newOverload(t *testing.T, nodes int, allowed func(AdmissionRequest) time.Duration) *overload {
+func newTestCluster(t *testing.T, nodes int, allowed func(AdmissionRequest) time.Duration) *testCluster {
 	network := memnet.NewNetwork()
-	o := &overload{}
+	o := &testCluster{}
 	var servers []*http.Server
 	for i := range overloadBackends {
-		q := &queue{slots: make(chan struct{}, queueSlots)}
+		q := &queueingBackend{slots: make(chan struct{}, queueSlots)}
 		listener, err := network.Listen(fmt.Sprint("b", i, ":80"))
 		if err != nil {
 			t.Fatal(err)
@@ -158,7 +158,7 @@
 		logs = append(logs, log)
 		reachability := reach.New(fmt.Sprint("n", i), place.NewDistances(place.Place{}, place.Map{}), client)
 		forwarder := New(Config{Client: client, Fleet: backends, Gate: gate, Reach: reachability, Log: log})
-		forwarder.allowed = allowed
+		forwarder.latencyBudget = allowed
 		o.forwarders = append(o.forwarders, forwarder)
 	}
 	o.close = func() {
@@ -175,15 +175,15 @@
 	return o
 }
 
-// seen is the result of one caller.
-type seen struct {
+// callerResult is the result of one caller.
+type callerResult struct {
 	status, tries int
 	took          time.Duration
 }
 
 // call sends a request as a caller does: if refused, it retries once after the delay in
 // Retry-After, but at most a third of its remaining time.
-func (o *overload) call(route *routetable.Route, id string) seen {
+func (o *testCluster) call(route *routetable.Route, id string) callerResult {
 	began := time.Now()
 	deadline := began.Add(overloadDeadline)
 	for tries := 1; ; tries++ {
@@ -192,21 +192,21 @@
 			ID: fmt.Sprint(id, "-", tries), Method: http.MethodPost, Target: "/", Received: time.Now(), Deadline: deadline, Rank: route.Priority,
 		}, route, 1)
 		if report.Status != http.StatusServiceUnavailable || tries == 2 {
-			return seen{report.Status, tries, time.Since(began)}
+			return callerResult{report.Status, tries, time.Since(began)}
 		}
 		wait, _ := strconv.ParseFloat(recorder.Header().Get("Retry-After"), 64)
 		time.Sleep(min(time.Duration(wait*float64(time.Second)), time.Until(deadline)/3))
 	}
 }
 
-// press sends requests at a multiple of the backends' capacity and returns the results of the
+// generateLoad sends requests at a multiple of the backends' capacity and returns the results of the
 // callers, except for those that start in the first second.
-func (o *overload) press(route *routetable.Route, load float64, duration time.Duration) []seen {
+func (o *testCluster) generateLoad(route *routetable.Route, load float64, duration time.Duration) []callerResult {
 	var mu sync.Mutex
-	var all []seen
+	var all []callerResult
 	var group sync.WaitGroup
 	began := time.Now()
-	gap := time.Duration(float64(queueWork) / (overloadBackends * queueSlots) / load)
+	gap := time.Duration(float64(meanServiceTime) / (overloadBackends * queueSlots) / load)
 	for i := 0; time.Since(began) < duration; i++ {
 		warm := time.Since(began) > time.Second
 		group.Go(func() {
@@ -230,7 +230,7 @@
 	took                                     time.Duration
 }
 
-func summarize(all []seen) summary {
+func summarize(all []callerResult) summary {
 	var s summary
 	for _, result := range all {
 		share := 1 / float64(len(all))
@@ -259,14 +259,14 @@
 		name    string
 		allowed func(AdmissionRequest) time.Duration
 	}{
-		{"used", allowed},
+		{"used", latencyBudget},
 		{"all", func(AdmissionRequest) time.Duration { return time.Hour }},
 		{"within deadline", func(ask AdmissionRequest) time.Duration { return ask.Left }},
 		{"retries first", func(ask AdmissionRequest) time.Duration {
 			if ask.Left < overloadDeadline {
 				return overloadTarget
 			}
-			return allowed(ask)
+			return latencyBudget(ask)
 		}},
 	}
 	for _, load := range []float64{0.7, 1.3, 3} {
@@ -276,10 +276,10 @@
 				continue
 			}
 			synctest.Test(t, func(t *testing.T) {
-				o := newOverload(t, 3, policy.allowed)
+				o := newTestCluster(t, 3, policy.allowed)
 				defer o.close()
-				o.press(routeOf(0, overloadTarget), 0.5, 500*time.Millisecond)
-				got := summarize(o.press(routeOf(0, overloadTarget), load, 3*time.Second))
+				o.generateLoad(routeOf(0, overloadTarget), 0.5, 500*time.Millisecond)
+				got := summarize(o.generateLoad(routeOf(0, overloadTarget), load, 3*time.Second))
 				t.Logf("load %.1f %-16s in target %.3f served %.3f refused %.3f failed %.3f tries %.2f mean time %3d ms", load, policy.name,
 					got.inTarget, got.served, got.refused, got.failed, got.tries, got.took.Milliseconds())
 				if i == 0 {
@@ -305,14 +305,14 @@
 func TestRanksUnderOverload(t *testing.T) {
 	for _, load := range []float64{0.35, 0.7, 1.5} {
 		synctest.Test(t, func(t *testing.T) {
-			o := newOverload(t, 3, allowed)
+			o := newTestCluster(t, 3, latencyBudget)
 			defer o.close()
 			higher, lower := routeOf(0, overloadTarget), routeOf(2, 4*overloadTarget)
-			o.press(higher, 0.3, 500*time.Millisecond)
-			o.press(lower, 0.3, 500*time.Millisecond)
+			o.generateLoad(higher, 0.3, 500*time.Millisecond)
+			o.generateLoad(lower, 0.3, 500*time.Millisecond)
 			lowerResult := make(chan summary)
-			go func() { lowerResult <- summarize(o.press(lower, load, 3*time.Second)) }()
-			gotHigher := summarize(o.press(higher, load, 3*time.Second))
+			go func() { lowerResult <- summarize(o.generateLoad(lower, load, 3*time.Second)) }()
+			gotHigher := summarize(o.generateLoad(higher, load, 3*time.Second))
 			gotLower := <-lowerResult
 			t.Logf("load %.2f each: higher rank %+v, lower rank %+v", load, gotHigher, gotLower)
 			// noise covers random variation. late covers requests that wait longer than
@@ -331,16 +331,16 @@
 // TestRefusingBackendWithSpareCapacity checks that no caller is refused while most slots are
 // free, even if one backend refuses every request.
 func TestRefusingBackendWithSpareCapacity(t *testing.T) {
-	full := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: refusalsMost}
-	spare := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: refusalsMost, roomy: true}
+	full := &exchange{route: &routetable.Route{MaxAttempts: 2}, refusals: maxRefusals}
+	spare := &exchange{route: &routetable.Route{MaxAttempts: 2}, refusals: maxRefusals, spareCapacity: true}
 	if full.maySend() || !spare.maySend() {
-		t.Errorf("after %d refusals: maySend = %t without spare capacity, %t with it; want false, true", refusalsMost, full.maySend(), spare.maySend())
+		t.Errorf("after %d refusals: maySend = %t without spare capacity, %t with it; want false, true", maxRefusals, full.maySend(), spare.maySend())
 	}
 	synctest.Test(t, func(t *testing.T) {
-		o := newOverload(t, 1, allowed)
+		o := newTestCluster(t, 1, latencyBudget)
 		defer o.close()
 		o.queues[0].shed = true
-		got := summarize(o.press(routeOf(0, overloadTarget), 0.2, 3*time.Second))
+		got := summarize(o.generateLoad(routeOf(0, overloadTarget), 0.2, 3*time.Second))
 		if got.refused+got.failed > 0 {
 			t.Errorf("one of %d backends refuses every request: %+v, want none refused or failed", overloadBackends, got)
 		}
@@ -384,14 +384,14 @@
 		{"service time above the target", []fleet.Backend{candidate("a", at(0, 4, 1))}, AdmissionRequest{Left: time.Second, Target: 10 * time.Millisecond, ServiceTime: serviceTime}, false, 0},
 	}
 	for _, test := range cases {
-		got := Admit(test.pool, test.ask, allowed(test.ask), chooseNow)
+		got := Admit(test.pool, test.ask, latencyBudget(test.ask), chooseNow)
 		if got.Refused != test.refused || got.CapacityDelay != test.room {
 			t.Errorf("%s: %+v, want refused %t, capacity after %s", test.name, got, test.refused, test.room)
 		}
 	}
 }
 
-func TestComeBack(t *testing.T) {
+func TestRetryDelay(t *testing.T) {
 	cases := []struct {
 		room, left time.Duration
 		chance     float64
@@ -400,7 +400,7 @@
 		{100 * time.Millisecond, time.Second, 0.5, 100 * time.Millisecond},
 		{100 * time.Millisecond, time.Second, 0, 50 * time.Millisecond},
 		{100 * time.Millisecond, time.Second, 1, 150 * time.Millisecond},
-		{0, time.Second, 0.5, comeBackLeast},
+		{0, time.Second, 0.5, minRetryDelay},
 		{10 * time.Second, time.Second, 0.5, 330 * time.Millisecond},
 		{time.Second, 0, 0.5, time.Millisecond},
 	}
--- a/internal/gatewaynode/forward/urgency_test.go
+++ b/internal/gatewaynode/forward/rankbudget_test.go
@@ -20,11 +20,11 @@
 		{"equal to the service time", work, work, 60 * time.Millisecond},
 		{"service time not known", 0, work - 1, 59999999 * time.Nanosecond},
 	} {
-		u, now := newUrgency(), time.Now()
-		if got := u.bound(demander{service: "s"}, 0, test.work, test.high, now); got != test.high {
+		u, now := newRankBudgets(), time.Now()
+		if got := u.bound(budgetKey{service: "s"}, 0, test.work, test.high, now); got != test.high {
 			t.Errorf("%s: budget of rank 0 is %s, want %s", test.name, got, test.high)
 		}
-		if got := u.bound(demander{service: "s"}, 1, test.work, budget, now); got != test.want {
+		if got := u.bound(budgetKey{service: "s"}, 1, test.work, budget, now); got != test.want {
 			t.Errorf("%s: budget of rank 1 is %s, want %s", test.name, got, test.want)
 		}
 	}
@@ -32,14 +32,14 @@
 
 // TestBudgetsAreSeparateByRegions checks that requests only yield to those of their regions.
 func TestBudgetsAreSeparateByRegions(t *testing.T) {
-	u, now := newUrgency(), time.Now()
+	u, now := newRankBudgets(), time.Now()
 	north, south := place.NewRegions("north"), place.NewRegions("south")
-	u.bound(demander{"s", north}, 0, 0, 100*time.Millisecond, now)
+	u.bound(budgetKey{"s", north}, 0, 0, 100*time.Millisecond, now)
 	for _, test := range []struct {
 		regions place.Regions
 		want    time.Duration
 	}{{north, 60 * time.Millisecond}, {south, time.Second}} {
-		if got := u.bound(demander{"s", test.regions}, 1, 0, time.Second, now); got != test.want {
+		if got := u.bound(budgetKey{"s", test.regions}, 1, 0, time.Second, now); got != test.want {
 			t.Errorf("%s: budget %s, want %s", test.regions, got, test.want)
 		}
 	}
--- a/internal/gatewaynode/forward/regions_test.go
+++ b/internal/gatewaynode/forward/regions_test.go
@@ -24,7 +24,7 @@
 		{"not restricted", place.Regions{}, 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			o := newOverload(t, 1, allowed)
+			o := newTestCluster(t, 1, latencyBudget)
 			defer o.close()
 			for _, q := range o.queues {
 				for range queueSlots {
@@ -40,7 +40,7 @@
 				if route != "stream" || tenant != "lab" {
 					t.Errorf("Regions called with route %q, tenant %q", route, tenant)
 				}
-				if time.Since(began) < silenceMost/2 {
+				if time.Since(began) < maxStreamSilence/2 {
 					return place.Regions{}
 				}
 				return test.now
--- a/internal/gatewaynode/forward/silence_test.go
+++ b/internal/gatewaynode/forward/silence_test.go
@@ -21,11 +21,11 @@
 	}{
 		{"slots are free", 0, 0, 1, 250 * time.Millisecond},
 		{"stream takes the last slot", queueSlots - 1, 0, 1, 250 * time.Millisecond},
-		{"all slots are taken", queueSlots, 0, 0, refusedPause},
-		{"other requests wait", queueSlots - 1, 2, 0, refusedPause},
+		{"all slots are taken", queueSlots, 0, 0, refusalPause},
+		{"other requests wait", queueSlots - 1, 2, 0, refusalPause},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			o := newOverload(t, 1, allowed)
+			o := newTestCluster(t, 1, latencyBudget)
 			defer o.close()
 			backends := o.forwarders[0].config.Fleet
 			for i, q := range o.queues {
@@ -42,8 +42,8 @@
 			report := o.forwarders[0].Serve(t.Context(), httptest.NewRecorder(), &Request{
 				ID: "r", Method: http.MethodPost, Target: "/", Received: began, Deadline: began.Add(5 * time.Second),
 			}, route, 1)
-			if took := time.Since(began); took != silenceMost {
-				t.Errorf("%s: ended after %s, want %s", test.name, took, silenceMost)
+			if took := time.Since(began); took != maxStreamSilence {
+				t.Errorf("%s: ended after %s, want %s", test.name, took, maxStreamSilence)
 			}
 			b, _ := backends.Get(report.Backend, time.Now())
 			if pause := time.Until(b.SuspendedUntil); b.Failures != test.failures || pause != test.pause {
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -35,76 +35,76 @@
 	hasLast bool
 }
 
-// serveStream serves requests whose response is an event stream, and passes complete events on as
-// they arrive. If a backend fails and the route allows it, the stream resumes at another
+// serveStream serves requests whose response is an event serveStream, and passes complete events on as
+// they arrive. If a backend fails and the route allows it, the serveStream resumes at another
 // backend after the last event; the response header stays that of the first backend.
-func (t *try) stream(ctx context.Context, w http.ResponseWriter) Report {
+func (x *exchange) serveStream(ctx context.Context, w http.ResponseWriter) Report {
 	state := &streamState{writer: w}
 	state.flusher, _ = w.(http.Flusher)
 	for {
-		backend, found := t.choose(time.Now())
-		if !found || !t.maySend() {
-			return t.endStream(state, ctx.Err())
+		backend, found := x.choose(time.Now())
+		if !found || !x.maySend() {
+			return x.endStream(state, ctx.Err())
 		}
-		t.sends++
-		t.tried[backend.ID]++
-		t.last = backend.ID
-		report, done := t.streamFrom(ctx, state, backend)
+		x.sends++
+		x.tried[backend.ID]++
+		x.last = backend.ID
+		report, done := x.streamFrom(ctx, state, backend)
 		if done {
 			return report
 		}
 		if ctx.Err() != nil {
-			return t.endStream(state, ctx.Err())
+			return x.endStream(state, ctx.Err())
 		}
 	}
 }
 
 // endStream ends a stream that no backend can continue.
-func (t *try) endStream(state *streamState, ended error) Report {
+func (x *exchange) endStream(state *streamState, ended error) Report {
 	if !state.started {
-		if t.sends == 0 && t.refusals == 0 && t.cause == "" {
-			t.cause = causeNoBackend
+		if x.sends == 0 && x.refusals == 0 && x.cause == "" {
+			x.cause = causeNoBackend
 		}
-		return t.giveUp(state.writer, ended)
+		return x.giveUp(state.writer, ended)
 	}
-	return Report{Outcome: OutcomeBroken, Cause: t.cause, Backend: t.last}
+	return Report{Outcome: OutcomeBroken, Cause: x.cause, Backend: x.last}
 }
 
 // streamFrom passes on the events of one backend. done reports whether the request has ended.
-func (t *try) streamFrom(ctx context.Context, state *streamState, backend fleet.Backend) (Report, bool) {
-	end := t.forwarder.config.Fleet.Begin(backend.ID)
+func (x *exchange) streamFrom(ctx context.Context, state *streamState, backend fleet.Backend) (Report, bool) {
+	end := x.forwarder.config.Fleet.Begin(backend.ID)
 	defer end()
 	attempt, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := t.watch(backend.ID, cancel)
+	watchdog := x.startWatchdog(backend.ID, cancel)
 	defer watchdog.timer.Stop()
-	call := t.call(backend)
+	call := x.call(backend)
 	if state.hasLast {
 		call.Resume, call.ResumeAfter = true, state.last
-		t.forwarder.config.Log.Info(eventlog.StreamResumed, eventlog.Fields{
-			eventlog.Request: t.request.ID, eventlog.Backend: backend.ID, "after": state.last, eventlog.Cause: t.cause,
+		x.forwarder.config.Log.Info(eventlog.StreamResumed, eventlog.Fields{
+			eventlog.Request: x.request.ID, eventlog.Backend: backend.ID, "after": state.last, eventlog.Cause: x.cause,
 		})
 	}
-	answer, err := t.forwarder.config.Client.Do(attempt, call)
+	answer, err := x.forwarder.config.Client.Do(attempt, call)
 	if err != nil {
-		t.noteFailure(backend, endedBy(attempt, err))
+		x.recordFailure(backend, endedBy(attempt, err))
 		return Report{}, false
 	}
 	defer func() { _ = answer.Body.Close() }()
-	observeLoad(t.forwarder.config.Fleet, backend.ID, answer.Meta)
+	observeLoad(x.forwarder.config.Fleet, backend.ID, answer.Meta)
 	if !isEventStream(answer) {
-		return t.passPlain(state, backend, answer)
+		return x.relayPlain(state, backend, answer)
 	}
 	if !state.started {
 		state.start(answer)
 	}
-	if err := t.pump(watchdog, state, backend, answer); err != nil {
+	if err := x.pump(watchdog, state, backend, answer); err != nil {
 		if ctx.Err() != nil {
 			// The backend was working on the request, even if no event has arrived.
-			t.noteUnanswered(answer.Sent)
+			x.recordLikelyRun(answer.Sent)
 			return Report{}, false
 		}
-		t.noteFailure(backend, endedBy(attempt, answer.Broken(err)))
+		x.recordFailure(backend, endedBy(attempt, answer.Broken(err)))
 		return Report{}, false
 	}
 	return Report{Outcome: OutcomeAnswered, Status: answer.Status, Backend: backend.ID}, true
@@ -116,22 +116,22 @@
 }
 
 // relayPlain handles a response that is not an event stream, usually an error.
-func (t *try) passPlain(state *streamState, backend fleet.Backend, answer *upstream.Answer) (Report, bool) {
-	content, err := io.ReadAll(io.LimitReader(answer.Body, bufferMost))
+func (x *exchange) relayPlain(state *streamState, backend fleet.Backend, answer *upstream.Answer) (Report, bool) {
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err == nil && state.started {
 		err = errors.New("backend responded with " + http.StatusText(answer.Status))
 	}
 	if err != nil {
-		t.noteFailure(backend, answer.Broken(err))
+		x.recordFailure(backend, answer.Broken(err))
 		return Report{}, false
 	}
-	t.noteBegan(answer.Sent)
-	if answer.Status >= http.StatusInternalServerError && t.repeatable() && t.maySend() {
-		t.uncertain = true
+	x.recordRun(answer.Sent)
+	if answer.Status >= http.StatusInternalServerError && x.repeatable() && x.maySend() {
+		x.mayHaveRun = true
 		return Report{}, false
 	}
-	result := attemptResult{backend: backend, answer: answer, content: content, whole: true}
-	return t.pass(state.writer, result), true
+	result := attemptResult{backend: backend, answer: answer, content: content, complete: true}
+	return x.relay(state.writer, result), true
 }
 
 func (s *streamState) start(answer *upstream.Answer) {
@@ -150,7 +150,7 @@
 // maxStreamSilence bounds the wait for the first and each further event of a stream that can
 // resume at another backend. Callers abandon a stream after two seconds or more without an
 // event; the time left has to suffice for the first event of the other backend.
-const silenceMost = 1200 * time.Millisecond
+const maxStreamSilence = 1200 * time.Millisecond
 
 // watchdog ends an attempt at a resumable stream if no event arrives for maxStreamSilence.
 type watchdog struct {
@@ -160,16 +160,16 @@
 }
 
 // startWatchdog starts a watchdog for an attempt. It does not run if the stream cannot be resumed.
-func (t *try) watch(backend string, cancel context.CancelCauseFunc) *watchdog {
+func (x *exchange) startWatchdog(backend string, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{}
-	w.timer = time.AfterFunc(silenceMost, func() {
-		if !w.begun.Load() && t.queued(backend) {
+	w.timer = time.AfterFunc(maxStreamSilence, func() {
+		if !w.begun.Load() && x.queued(backend) {
 			cancel(errQueued)
 			return
 		}
 		cancel(errSilent)
 	})
-	if !t.repeatable() {
+	if !x.repeatable() {
 		w.timer.Stop()
 	}
 	return w
@@ -177,10 +177,10 @@
 
 // queued reports whether a running request likely waits for a slot at the backend: others wait,
 // or the other running requests take all slots.
-func (t *try) queued(backend string) bool {
-	b, found := t.forwarder.config.Fleet.Get(backend, time.Now())
+func (x *exchange) queued(backend string) bool {
+	b, found := x.forwarder.config.Fleet.Get(backend, time.Now())
 	b.InFlight--
-	return found && !free(&b)
+	return found && !hasFreeSlot(&b)
 }
 
 // endedBy sets the cause of a failed attempt to the one for which this node ended it, if it
@@ -195,8 +195,8 @@
 }
 
 // pump passes complete events on until the end of the stream, for which it returns nil.
-func (t *try) pump(watchdog *watchdog, state *streamState, backend fleet.Backend, answer *upstream.Answer) error {
-	reader := eventstream.NewReader(answer.Body, t.forwarder.config.VersionField)
+func (x *exchange) pump(watchdog *watchdog, state *streamState, backend fleet.Backend, answer *upstream.Answer) error {
+	reader := eventstream.NewReader(answer.Body, x.forwarder.config.VersionField)
 	previous := time.Now()
 	for {
 		event, err := reader.Next()
@@ -210,12 +210,12 @@
 			return errGap
 		}
 		watchdog.begun.Store(true)
-		if t.repeatable() {
-			watchdog.timer.Reset(silenceMost)
+		if x.repeatable() {
+			watchdog.timer.Reset(maxStreamSilence)
 		}
 		now := time.Now()
-		t.noteBegan(now)
-		t.forwarder.config.Fleet.ObservePace(backend.ID, now.Sub(previous), now)
+		x.recordRun(now)
+		x.forwarder.config.Fleet.ObservePace(backend.ID, now.Sub(previous), now)
 		previous = now
 		if _, err := state.writer.Write(event.Raw); err != nil {
 			return err
--- a/internal/gatewaynode/forward/subset_test.go
+++ b/internal/gatewaynode/forward/subset_test.go
@@ -58,7 +58,7 @@
 		s.fleet.ObserveLoad(b.ID, fleet.Load{Running: running, Waiting: waiting}, now)
 		end()
 		s.connections[peer]++
-		s.fleet.ObserveLatency(b.ID, usualLatency*time.Duration(1+waiting/b.Slots))
+		s.fleet.ObserveLatency(b.ID, defaultLatency*time.Duration(1+waiting/b.Slots))
 	}
 }
 
@@ -166,7 +166,7 @@
 		}},
 		{"slow", func(node *sender, kept fleet.Backend, _ time.Time) {
 			for range 5 {
-				node.fleet.ObserveLatency(kept.ID, 10*usualLatency)
+				node.fleet.ObserveLatency(kept.ID, 10*defaultLatency)
 			}
 		}},
 	} {
@@ -181,7 +181,7 @@
 // TestNodeStaysDespiteSlowResponse checks that a single slow response causes no switch.
 func TestNodeStaysDespiteSlowResponse(t *testing.T) {
 	node, kept, now := settled(t, instances(9, "a", "b", "c"))
-	node.fleet.ObserveLatency(kept.ID, 2*usualLatency)
+	node.fleet.ObserveLatency(kept.ID, 2*defaultLatency)
 	if next := node.choose(t, now); next.ID != kept.ID {
 		t.Errorf("switches to %s after one response that took twice as long", next.ID)
 	}
--- a/internal/gatewaynode/forward/away_test.go
+++ b/internal/gatewaynode/forward/suspension_test.go
@@ -25,10 +25,10 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			suspended.Store(0)
-			o := newOverload(t, 1, allowed)
+			o := newTestCluster(t, 1, latencyBudget)
 			defer o.close()
 			limit := time.Now().Add(3 * time.Second)
-			tr := &try{
+			tr := &exchange{
 				ctx: t.Context(), forwarder: o.forwarders[0], route: &routetable.Route{Name: "r", Kind: routetable.KindSafe}, service: "s",
 				request: &Request{ID: "r", Deadline: limit}, limit: limit, began: clock.NewMark(), tried: map[string]int{},
 			}
@@ -44,7 +44,7 @@
 				return
 			}
 			w := httptest.NewRecorder()
-			if report := tr.whole(t.Context(), w); report.Outcome != OutcomeRefused || w.Code != http.StatusServiceUnavailable {
+			if report := tr.serveBuffered(t.Context(), w); report.Outcome != OutcomeRefused || w.Code != http.StatusServiceUnavailable {
 				t.Errorf("suspended for %s: outcome %s, status %d", test.suspended, report.Outcome, w.Code)
 			}
 		})
