--- a/internal/gatewaynode/forward/linger_test.go
+++ b/internal/gatewaynode/forward/linger_test.go
@@ -48,9 +48,9 @@
 // Value hides the wrapped context from the context package, which would bypass AfterFunc.
 func (endingContext) Value(any) any { return nil }
 
-// TestAttemptsEndBeforeAfterFuncRuns checks that attempts end at once if the request sees the
+// TestAttemptsEndWithARequestThatSeesTheEndFirst checks that attempts end at once if the request sees the
 // end of its context before the context has started its AfterFuncs.
-func TestAttemptsEndBeforeAfterFuncRuns(t *testing.T) {
+func TestAttemptsEndWithARequestThatSeesTheEndFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		attempts, end := lingering(endingContext{ctx})
