--- a/internal/gatewaynode/forward/admit.go
+++ b/internal/gatewaynode/forward/admit.go
@@ -134,7 +134,7 @@
 
 // admit makes the admission decision once, before the first attempt. It admits a request that
 // no backend is eligible for: the choice of a backend reports that.
-func (x *exchange) admit(backends []fleet.Backend, world *eligibility.World) bool {
+func (x *try) admit(backends []fleet.Backend, world *eligibility.World) bool {
 	if x.admitted {
 		return true
 	}
@@ -154,7 +154,7 @@
 
 // eligible returns the backends that may get the request. Suspended ones are left out unless
 // all are suspended.
-func (x *exchange) eligible(backends []fleet.Backend, world *eligibility.World) []fleet.Backend {
+func (x *try) eligible(backends []fleet.Backend, world *eligibility.World) []fleet.Backend {
 	var eligible, suspended []fleet.Backend
 	wants := x.eligibilityRequest()
 	for i := range backends {
@@ -175,7 +175,7 @@
 // estimateCapacityDelay returns the estimated time until there is capacity for a request that
 // was not admitted or that backends refused. It is at least refusalPause, for which backends
 // that refused are passed over.
-func (x *exchange) estimateCapacityDelay(now time.Time) time.Duration {
+func (x *try) estimateCapacityDelay(now time.Time) time.Duration {
 	if x.capacityDelay > 0 {
 		return x.capacityDelay
 	}
@@ -186,6 +186,6 @@
 
 // capacityRetryDelay returns how long the caller of a refused request should wait before it
 // retries.
-func (x *exchange) capacityRetryDelay(now time.Time) time.Duration {
+func (x *try) capacityRetryDelay(now time.Time) time.Duration {
 	return RetryDelay(x.estimateCapacityDelay(now), x.request.Deadline.Sub(now), rand.Float64())
 }
--- a/internal/gatewaynode/forward/answer.go
+++ b/internal/gatewaynode/forward/answer.go
@@ -10,7 +10,7 @@
 )
 
 // relay writes a backend's response to the caller.
-func (x *exchange) relay(w http.ResponseWriter, result attemptResult) Report {
+func (x *try) relay(w http.ResponseWriter, result attemptResult) Report {
 	report := Report{Outcome: OutcomeAnswered, Status: result.answer.Status, Backend: result.backend.ID}
 	copyHeader(w.Header(), result.answer.Header)
 	if result.complete {
@@ -57,7 +57,7 @@
 
 // giveUp ends a request after its last attempt failed. The request is refused if it certainly
 // has not run, and fails otherwise.
-func (x *exchange) giveUp(w http.ResponseWriter, ended error) Report {
+func (x *try) giveUp(w http.ResponseWriter, ended error) Report {
 	if !x.mayHaveRun {
 		return x.refuse(w, x.cause)
 	}
@@ -70,7 +70,7 @@
 }
 
 // timeoutCause names the time limit that ended the request.
-func (x *exchange) timeoutCause() string {
+func (x *try) timeoutCause() string {
 	if x.limit.Before(x.request.Deadline) {
 		return "route timeout of " + x.route.Timeout.String() + " exceeded"
 	}
@@ -78,7 +78,7 @@
 }
 
 // refuse answers 503 with Retry-After, which promises that the request has not run.
-func (x *exchange) refuse(w http.ResponseWriter, cause string) Report {
+func (x *try) refuse(w http.ResponseWriter, cause string) Report {
 	now := time.Now()
 	survey := x.survey(now)
 	switch {
@@ -107,7 +107,7 @@
 const causeQuarantined = "back ends ended under requests like it"
 
 // retryAfter returns the Retry-After of a refusal.
-func (x *exchange) retryAfter(cause string, survey eligibility.Survey, now time.Time) time.Duration {
+func (x *try) retryAfter(cause string, survey eligibility.Survey, now time.Time) time.Duration {
 	if cause == causeQuarantined {
 		return max(x.forwarder.config.Trials.Retry(x.fingerprint), minRetryAfter)
 	}
--- a/internal/gatewaynode/forward/began.go
+++ b/internal/gatewaynode/forward/began.go
@@ -65,12 +65,12 @@
 }
 
 // likelyBegan reports whether the backend likely began to run a failed attempt.
-func (x *exchange) likelyBegan(err error) bool {
+func (x *try) likelyBegan(err error) bool {
 	return likelyBegan(err, x.forwarder.latencies.usual(x.route.Name))
 }
 
 // addSendFields adds to the log fields of a failed attempt what tells whether it began.
-func (x *exchange) addSendFields(fields eventlog.Fields, err error) {
+func (x *try) addSendFields(fields eventlog.Fields, err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) || failure.Fate != upstream.Unknown {
 		return
@@ -96,14 +96,14 @@
 }
 
 // recordAborted records a pending call that this node aborts, if it was sent.
-func (x *exchange) recordAborted(s *sendTime) {
+func (x *try) recordAborted(s *sendTime) {
 	if at := s.at.Load(); at != nil {
 		x.recordLikelyRun(*at)
 	}
 }
 
 // beganAt returns when the request began to run and the evidence for it, zero if it did not.
-func (x *exchange) beganAt() (time.Time, Evidence) {
+func (x *try) beganAt() (time.Time, Evidence) {
 	switch {
 	case !x.answeredAt.IsZero():
 		return x.answeredAt, EvidenceAnswer
@@ -114,14 +114,14 @@
 }
 
 // recordRun records that a backend ran the request from a moment on.
-func (x *exchange) recordRun(moment time.Time) {
+func (x *try) recordRun(moment time.Time) {
 	if x.answeredAt.IsZero() || moment.Before(x.answeredAt) {
 		x.answeredAt = moment
 	}
 }
 
 // recordUnanswered records a failed attempt that may have run.
-func (x *exchange) recordUnanswered(err error) {
+func (x *try) recordUnanswered(err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) {
 		return
@@ -135,7 +135,7 @@
 }
 
 // recordLikelyRun records that an attempt without a response likely ran.
-func (x *exchange) recordLikelyRun(sent time.Time) {
+func (x *try) recordLikelyRun(sent time.Time) {
 	if x.likelyRunAt.IsZero() || sent.Before(x.likelyRunAt) {
 		x.likelyRunAt = sent
 	}
--- a/internal/gatewaynode/forward/buffered.go
+++ b/internal/gatewaynode/forward/buffered.go
@@ -23,7 +23,7 @@
 }
 
 // serveBuffered serves requests whose response is buffered until it is complete.
-func (x *exchange) serveBuffered(ctx context.Context, w http.ResponseWriter) Report {
+func (x *try) serveBuffered(ctx context.Context, w http.ResponseWriter) Report {
 	attempts, end := lingering(ctx)
 	defer end()
 	results := make(chan attemptResult, x.maxAttempts()+maxRefusalsSpare+maxWithheld+1)
@@ -134,7 +134,7 @@
 }
 
 // settled records a result and reports whether it ends the request.
-func (x *exchange) settled(result attemptResult) bool {
+func (x *try) settled(result attemptResult) bool {
 	if result.err != nil {
 		x.recordFailure(result.backend, result.err)
 		return false
@@ -153,8 +153,8 @@
 }
 
 // attempt sends a call and returns its result. It runs concurrently with the rest of the
-// exchange and must not modify it.
-func (x *exchange) attempt(ctx context.Context, backend fleet.Backend, call *upstream.Call, sent *sendTime) attemptResult {
+// try and must not modify it.
+func (x *try) attempt(ctx context.Context, backend fleet.Backend, call *upstream.Call, sent *sendTime) attemptResult {
 	started := time.Now()
 	end := x.forwarder.config.Fleet.Begin(backend.ID)
 	defer end()
@@ -191,7 +191,7 @@
 )
 
 // hedgeDelay returns the delay after which a second attempt is sent beside the first.
-func (x *exchange) hedgeDelay() time.Duration {
+func (x *try) hedgeDelay() time.Duration {
 	usual := x.forwarder.latencies.usual(x.route.Name)
 	most := time.Duration(hedgeTarget * float64(x.route.Target))
 	if usual == 0 || most == 0 {
@@ -202,7 +202,7 @@
 
 // hedgeRest returns how much longer to delay a hedge that needs a new connection: a response
 // that is late for its route but well within its target does not justify one.
-func (x *exchange) hedgeRest(launched time.Time) time.Duration {
+func (x *try) hedgeRest(launched time.Time) time.Duration {
 	now := time.Now()
 	backend, found := x.choose(now)
 	if !found || backend.Reach.Idle > 0 {
--- a/internal/gatewaynode/forward/eligible.go
+++ b/internal/gatewaynode/forward/eligible.go
@@ -11,7 +11,7 @@
 
 // eligibilityRequest returns the properties of the request that determine which backends are
 // eligible now.
-func (x *exchange) eligibilityRequest() eligibility.Request {
+func (x *try) eligibilityRequest() eligibility.Request {
 	wants := eligibility.Request{Regions: x.regions(), Model: x.request.Model}
 	if !x.trial {
 		wants.Work = x.fingerprint
@@ -21,7 +21,7 @@
 
 // regions returns the regions that may serve the request: those allowed when it arrived and
 // also by the configuration in force, which may change during a stream.
-func (x *exchange) regions() place.Regions {
+func (x *try) regions() place.Regions {
 	if x.forwarder.config.Regions == nil {
 		return x.request.Regions
 	}
@@ -30,7 +30,7 @@
 
 // recordWithheld records an attempt that this node did not send after all. It says nothing
 // about the backend and does not count as an attempt.
-func (x *exchange) recordWithheld(backend fleet.Backend, err error) {
+func (x *try) recordWithheld(backend fleet.Backend, err error) {
 	x.sends--
 	x.withheld++
 	x.cause = err.Error()
@@ -41,6 +41,6 @@
 }
 
 // survey counts the service's backends by eligibility for the request.
-func (x *exchange) survey(now time.Time) eligibility.Survey {
+func (x *try) survey(now time.Time) eligibility.Survey {
 	return x.forwarder.config.Gate.World(now).Survey(x.forwarder.config.Fleet.Service(x.service, now), x.eligibilityRequest())
 }
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -163,7 +163,7 @@
 	}
 	bounded, cancel := context.WithDeadline(ctx, limit)
 	defer cancel()
-	try := &exchange{
+	try := &try{
 		ctx: ctx, began: clock.NewMark(), forwarder: f, request: request, route: route, service: service, fingerprint: f.fingerprintOf(request),
 		limit: limit, tried: make(map[string]int),
 	}
@@ -199,7 +199,7 @@
 }
 
 // logReport logs the end of a request.
-func (f *Forwarder) logReport(t *exchange, report Report, configVersion int64) {
+func (f *Forwarder) logReport(t *try, report Report, configVersion int64) {
 	request, route, service := t.request, t.route, t.service
 	event := map[Outcome]string{
 		OutcomeAnswered: eventlog.RequestAnswered,
@@ -234,8 +234,8 @@
 	f.config.Log.Warn(event, fields)
 }
 
-// exchange is the state of one request from its arrival to its response.
-type exchange struct {
+// try is the state of one request from its arrival to its response.
+type try struct {
 	// ctx ends when the caller leaves.
 	ctx       context.Context
 	forwarder *Forwarder
@@ -280,7 +280,7 @@
 }
 
 // repeatable reports whether the request may run more than once.
-func (x *exchange) repeatable() bool {
+func (x *try) repeatable() bool {
 	switch x.route.Kind {
 	case routetable.KindSafe:
 		return true
@@ -292,7 +292,7 @@
 }
 
 // maxAttempts returns the number of attempts that may run.
-func (x *exchange) maxAttempts() int {
+func (x *try) maxAttempts() int {
 	if x.trial {
 		return 1
 	}
@@ -302,10 +302,10 @@
 // endTime returns when the request endTime, taking into account time for which the machine was
 // suspended. Backends are told this deadline, and no attempt starts after it. The context of
 // the request follows the monotonic clock and endTime later after a suspension.
-func (x *exchange) endTime() time.Time { return x.limit.Add(-x.began.Since()) }
+func (x *try) endTime() time.Time { return x.limit.Add(-x.began.Since()) }
 
 // maySend reports whether one more attempt is allowed.
-func (x *exchange) maySend() bool {
+func (x *try) maySend() bool {
 	if ends := x.endTime(); ends.Before(x.limit) && !time.Now().Before(ends) {
 		// The deadline passed while the machine was suspended; the context has not ended yet.
 		return false
@@ -317,7 +317,7 @@
 }
 
 // maxRefusals returns the number of refusals by backends that end the request.
-func (x *exchange) maxRefusals() int {
+func (x *try) maxRefusals() int {
 	if x.spareCapacity {
 		return maxRefusalsSpare
 	}
@@ -325,7 +325,7 @@
 }
 
 // choose returns the backend for the next attempt.
-func (x *exchange) choose(now time.Time) (fleet.Backend, bool) {
+func (x *try) choose(now time.Time) (fleet.Backend, bool) {
 	backends, world := x.forwarder.config.Fleet.Service(x.service, now), x.forwarder.config.Gate.World(now)
 	if !x.admit(backends, world) {
 		return fleet.Backend{}, false
@@ -338,7 +338,7 @@
 }
 
 // call returns the upstream call of an attempt.
-func (x *exchange) call(backend fleet.Backend) *upstream.Call {
+func (x *try) call(backend fleet.Backend) *upstream.Call {
 	return &upstream.Call{
 		ID: x.request.ID, Method: x.request.Method, Target: x.request.Target, Host: x.request.Host,
 		Header: x.request.Header, Body: x.request.Body,
@@ -354,7 +354,7 @@
 }
 
 // recordFailure records a failed attempt and what it says about its backend.
-func (x *exchange) recordFailure(backend fleet.Backend, err error) {
+func (x *try) recordFailure(backend fleet.Backend, err error) {
 	if upstream.Withheld(err) {
 		x.recordWithheld(backend, err)
 		return
--- a/internal/gatewaynode/forward/latency_test.go
+++ b/internal/gatewaynode/forward/latency_test.go
@@ -11,8 +11,8 @@
 // of another route at the same backends.
 func TestHedgeDelayFollowsRouteLatency(t *testing.T) {
 	f := New(Config{})
-	route := func(name string) *exchange {
-		return &exchange{forwarder: f, route: &routetable.Route{Name: name, Target: 200 * time.Millisecond}}
+	route := func(name string) *try {
+		return &try{forwarder: f, route: &routetable.Route{Name: name, Target: 200 * time.Millisecond}}
 	}
 	if delay := route("page").hedgeDelay(); delay != 100*time.Millisecond {
 		t.Errorf("no latency known: delay %s, want half of the target", delay)
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -331,8 +331,8 @@
 // TestRefusingBackendWithSpareCapacity checks that no caller is refused while most slots are
 // free, even if one backend refuses every request.
 func TestRefusingBackendWithSpareCapacity(t *testing.T) {
-	full := &exchange{route: &routetable.Route{MaxAttempts: 2}, refusals: maxRefusals}
-	spare := &exchange{route: &routetable.Route{MaxAttempts: 2}, refusals: maxRefusals, spareCapacity: true}
+	full := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: maxRefusals}
+	spare := &try{route: &routetable.Route{MaxAttempts: 2}, refusals: maxRefusals, spareCapacity: true}
 	if full.maySend() || !spare.maySend() {
 		t.Errorf("after %d refusals: maySend = %t without spare capacity, %t with it; want false, true", maxRefusals, full.maySend(), spare.maySend())
 	}
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -38,7 +38,7 @@
 // serveStream serves requests whose response is an event serveStream, and passes complete events on as
 // they arrive. If a backend fails and the route allows it, the serveStream resumes at another
 // backend after the last event; the response header stays that of the first backend.
-func (x *exchange) serveStream(ctx context.Context, w http.ResponseWriter) Report {
+func (x *try) serveStream(ctx context.Context, w http.ResponseWriter) Report {
 	state := &streamState{writer: w}
 	state.flusher, _ = w.(http.Flusher)
 	for {
@@ -60,7 +60,7 @@
 }
 
 // endStream ends a stream that no backend can continue.
-func (x *exchange) endStream(state *streamState, ended error) Report {
+func (x *try) endStream(state *streamState, ended error) Report {
 	if !state.started {
 		if x.sends == 0 && x.refusals == 0 && x.cause == "" {
 			x.cause = causeNoBackend
@@ -71,7 +71,7 @@
 }
 
 // streamFrom passes on the events of one backend. done reports whether the request has ended.
-func (x *exchange) streamFrom(ctx context.Context, state *streamState, backend fleet.Backend) (Report, bool) {
+func (x *try) streamFrom(ctx context.Context, state *streamState, backend fleet.Backend) (Report, bool) {
 	end := x.forwarder.config.Fleet.Begin(backend.ID)
 	defer end()
 	attempt, cancel := context.WithCancelCause(ctx)
@@ -116,7 +116,7 @@
 }
 
 // relayPlain handles a response that is not an event stream, usually an error.
-func (x *exchange) relayPlain(state *streamState, backend fleet.Backend, answer *upstream.Answer) (Report, bool) {
+func (x *try) relayPlain(state *streamState, backend fleet.Backend, answer *upstream.Answer) (Report, bool) {
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err == nil && state.started {
 		err = errors.New("backend responded with " + http.StatusText(answer.Status))
@@ -160,7 +160,7 @@
 }
 
 // startWatchdog starts a watchdog for an attempt. It does not run if the stream cannot be resumed.
-func (x *exchange) startWatchdog(backend string, cancel context.CancelCauseFunc) *watchdog {
+func (x *try) startWatchdog(backend string, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{}
 	w.timer = time.AfterFunc(maxStreamSilence, func() {
 		if !w.begun.Load() && x.queued(backend) {
@@ -177,7 +177,7 @@
 
 // queued reports whether a running request likely waits for a slot at the backend: others wait,
 // or the other running requests take all slots.
-func (x *exchange) queued(backend string) bool {
+func (x *try) queued(backend string) bool {
 	b, found := x.forwarder.config.Fleet.Get(backend, time.Now())
 	b.InFlight--
 	return found && !hasFreeSlot(&b)
@@ -195,7 +195,7 @@
 }
 
 // pump passes complete events on until the end of the stream, for which it returns nil.
-func (x *exchange) pump(watchdog *watchdog, state *streamState, backend fleet.Backend, answer *upstream.Answer) error {
+func (x *try) pump(watchdog *watchdog, state *streamState, backend fleet.Backend, answer *upstream.Answer) error {
 	reader := eventstream.NewReader(answer.Body, x.forwarder.config.VersionField)
 	previous := time.Now()
 	for {
--- a/internal/gatewaynode/forward/suspension_test.go
+++ b/internal/gatewaynode/forward/suspension_test.go
@@ -28,7 +28,7 @@
 			o := newTestCluster(t, 1, latencyBudget)
 			defer o.close()
 			limit := time.Now().Add(3 * time.Second)
-			tr := &exchange{
+			tr := &try{
 				ctx: t.Context(), forwarder: o.forwarders[0], route: &routetable.Route{Name: "r", Kind: routetable.KindSafe}, service: "s",
 				request: &Request{ID: "r", Deadline: limit}, limit: limit, began: clock.NewMark(), tried: map[string]int{},
 			}
--- a/internal/gatewaynode/forward/withheld_test.go
+++ b/internal/gatewaynode/forward/withheld_test.go
@@ -16,14 +16,14 @@
 // were withheld, even if a backend has become eligible since.
 func TestWithheldAttemptIsTheCause(t *testing.T) {
 	withheld := &upstream.Error{Fate: upstream.NotSent, Cause: &eligibility.Error{Reason: eligibility.Draining{}}, Withheld: true}
-	for kind, end := range map[routetable.Kind]func(*exchange) Report{
-		routetable.KindStream: func(tr *exchange) Report { return tr.endStream(&streamState{writer: httptest.NewRecorder()}, nil) },
-		routetable.KindSafe:   func(tr *exchange) Report { return tr.giveUp(httptest.NewRecorder(), nil) },
+	for kind, end := range map[routetable.Kind]func(*try) Report{
+		routetable.KindStream: func(tr *try) Report { return tr.endStream(&streamState{writer: httptest.NewRecorder()}, nil) },
+		routetable.KindSafe:   func(tr *try) Report { return tr.giveUp(httptest.NewRecorder(), nil) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			o := newTestCluster(t, 1, latencyBudget)
 			defer o.close()
-			tr := &exchange{
+			tr := &try{
 				ctx: t.Context(), forwarder: o.forwarders[0], route: &routetable.Route{Name: "r", Kind: kind}, service: "s",
 				request: &Request{ID: "r", Deadline: time.Now().Add(time.Second)}, tried: map[string]int{"b0": 1}, sends: 1,
 			}
