--- a/internal/gatewaynode/batch/patience_test.go
+++ b/internal/gatewaynode/batch/patience_test.go
@@ -64,8 +64,8 @@
 		want need
 		pick string
 	}{
-		{"patient item uses an idle connection", []fleet.Backend{backend("a", nil), backend("b", connected)}, need{patient: true}, "b"},
-		{"patient item without an idle connection", []fleet.Backend{backend("a", nil)}, need{patient: true}, ""},
+		{"patient item uses an idle connection", []fleet.Backend{backend("a", nil), backend("b", connected)}, need{idleOnly: true}, "b"},
+		{"patient item without an idle connection", []fleet.Backend{backend("a", nil)}, need{idleOnly: true}, ""},
 		{"other item opens a connection", []fleet.Backend{backend("a", nil)}, need{}, "a"},
 		{"other item prefers an idle connection to lower load", []fleet.Backend{backend("a", nil), backend("b", func(b *fleet.Backend) { b.Reach.Idle, b.InFlight = 1, 3 })}, need{}, "b"},
 		{"other item prefers a faster backend to an idle connection", []fleet.Backend{backend("a", nil), backend("b", func(b *fleet.Backend) { b.Reach.Idle, b.Pace = 1, 52*time.Millisecond })}, need{}, "a"},
--- a/internal/gatewaynode/batch/place.go
+++ b/internal/gatewaynode/batch/place.go
@@ -18,8 +18,8 @@
 	// short is set for items that are expected to finish well before the rest of their job.
 	// They leave the fastest backends to longer items.
 	short bool
-	// patient restricts the item to backends with an idle connection.
-	patient bool
+	// idleOnly restricts the item to backends with an idle connection.
+	idleOnly bool
 	// left is the expected number of remaining events, 0 if unknown.
 	left int
 	// held and expected are the tokens that the item occupies at its start and is expected
@@ -54,8 +54,8 @@
 	// coldSlowdown applies to a backend that is warming up, so that it is used only if no
 	// warm one has room.
 	coldSlowdown = 4.0
-	// leisurelyBonus is the cost factor of moderately slow backends for short items.
-	leisurelyBonus = 0.5
+	// moderatelySlowFactor is the cost factor of moderately slow backends for short items.
+	moderatelySlowFactor = 0.5
 )
 
 // pickBackend returns the index of the backend with the lowest cost among those that can
@@ -64,7 +64,7 @@
 	best := -1
 	var bestCost float64
 	for i := range pool {
-		if !suits(&pool[i], want, world) || want.patient && pool[i].Reach.Idle == 0 {
+		if !suits(&pool[i], want, world) || want.idleOnly && pool[i].Reach.Idle == 0 {
 			continue
 		}
 		cost := runCost(&pool[i], want, typical, world.Now)
@@ -105,8 +105,8 @@
 	if backend.Cold(now) {
 		cost *= 1 + coldSlowdown
 	}
-	if want.short && leisurely(pace(backend, typical, now), typical) {
-		cost *= leisurelyBonus
+	if want.short && moderatelySlow(pace(backend, typical, now), typical) {
+		cost *= moderatelySlowFactor
 	}
 	return cost
 }
@@ -119,10 +119,10 @@
 	return openingSlowdown
 }
 
-// leisurely reports whether a pace is moderately slow: slower than typical, but not slow
+// moderatelySlow reports whether a pace is moderately slow: slower than typical, but not slow
 // enough for items to be moved away. Short items prefer such backends and leave the faster
 // ones to long items, which determine how long a job takes.
-func leisurely(pace, typical time.Duration) bool {
+func moderatelySlow(pace, typical time.Duration) bool {
 	ratio := float64(pace) / float64(typical)
 	return ratio > moveRatioLong && ratio <= moveRatio
 }
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -19,17 +19,17 @@
 	return table == TableSpecs || table == TableResults || table == TablePartials
 }
 
-// kind holds the properties of a job that, together with the configuration, determine the
+// residency holds the properties of a job that, together with the configuration, determine the
 // regions in which its data may be kept and its items may run.
-type kind struct {
+type residency struct {
 	route, tenant string
 	// accepted holds the regions that were allowed when the job was accepted. They apply if
 	// the configuration no longer contains the route.
 	accepted place.Regions
 }
 
-func (h Head) kind() kind {
-	return kind{route: h.Route, tenant: h.Tenant, accepted: place.NewRegions(h.Regions...)}
+func (h Head) kind() residency {
+	return residency{route: h.Route, tenant: h.Tenant, accepted: place.NewRegions(h.Regions...)}
 }
 
 // regionsOf returns the regions in which a job is allowed by the current configuration. If
@@ -160,8 +160,8 @@
 		state, found := m.snapshot(job)
 		return found && (!state.known || m.allowedHere(state.head))
 	})
-	allowed := make(map[kind]bool)
-	m.runner.retainTexts(func(of kind) bool {
+	allowed := make(map[residency]bool)
+	m.runner.retainTexts(func(of residency) bool {
 		may, known := allowed[of]
 		if !known {
 			may = m.allowedHere(Head{Route: of.route, Tenant: of.tenant, Regions: of.accepted.Names()})
@@ -171,15 +171,15 @@
 	})
 }
 
-// retainTexts drops the kept texts of the kinds of jobs for which keep returns false.
-func (r *runner) retainTexts(keep func(kind) bool) {
+// retainTexts drops the kept texts of the residencies for which keep returns false.
+func (r *runner) retainTexts(keep func(residency) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept.retain(keep)
 }
 
-// retain drops the texts of the kinds of jobs for which keep returns false.
-func (k *keptTexts) retain(keep func(kind) bool) {
+// retain drops the texts of the residencies for which keep returns false.
+func (k *keptTexts) retain(keep func(residency) bool) {
 	k.order = slices.DeleteFunc(k.order, func(item string) bool {
 		if keep(k.texts[item].of) {
 			return false
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -72,7 +72,7 @@
 	item.runs++
 	started := &run{
 		runner: r, job: job, index: index, route: route, backend: backend, ctx: ctx, cancel: cancel,
-		endSlot: r.manager.config.Fleet.Begin(backend.ID), priority: upstream.PriorityOf(r.rank(job.tenant, route), item.behind()),
+		endSlot: r.manager.config.Fleet.Begin(backend.ID), priority: upstream.PriorityOf(r.priority(job.tenant, route), item.behind()),
 		request: r.requestOf(job, index, route), work: item.work, asked: r.unsent.begin(backend.ID),
 	}
 	if !item.trial {
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -124,7 +124,7 @@
 	// scheduleWake triggers scheduling.
 	scheduleWake chan struct{}
 	// seconds limits hedged scoring calls, which are sent in addition to slow ones.
-	seconds secondCalls
+	seconds hedgeBudget
 	// lengths holds statistics of output lengths.
 	lengths lengths
 	unsent  *unsent
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -19,10 +19,10 @@
 	index int
 	route *routetable.Route
 	// priority is that of the job's tenant or, if it has none, of the route. 0 is the
-	// highest. It takes precedence over rank.
+	// highest. It takes precedence over weight.
 	priority int
-	// rank orders candidates of equal priority, highest first.
-	rank float64
+	// weight orders candidates of equal priority, highest first.
+	weight float64
 	// moving is set if the item is running and is to be moved.
 	moving bool
 }
@@ -56,15 +56,15 @@
 	}
 }
 
-// urgentRank is added to the rank of urgent items. It exceeds any length hint.
-const urgentRank = 1e12
+// urgentWeight is added to the weight of urgent items. It exceeds any length hint.
+const urgentWeight = 1e12
 
 // appendCandidates appends the candidates of a job to list. The caller holds r.mu.
 func (r *runner) appendCandidates(list []candidate, job *ownedJob, route *routetable.Route, p *pools) []candidate {
-	priority := rankOf(p.config, job.tenant, route)
+	priority := priorityOf(p.config, job.tenant, route)
 	for _, index := range job.order {
 		item := &job.items[index]
-		c := candidate{job: job, index: index, route: route, priority: priority, rank: float64(job.spec.Items[index].LengthHint)}
+		c := candidate{job: job, index: index, route: route, priority: priority, weight: float64(job.spec.Items[index].LengthHint)}
 		switch item.phase {
 		case phaseWaiting:
 			if !item.trial && p.world.HeldEnds(item.work) > 0 {
@@ -72,7 +72,7 @@
 				continue
 			}
 			if item.urgent {
-				c.rank += urgentRank
+				c.weight += urgentWeight
 			}
 			list = append(list, c)
 		case phaseRunning:
@@ -83,7 +83,7 @@
 			}
 			c.moving = true
 			if p.now.Sub(item.firstStart) > longRun {
-				c.rank += urgentRank
+				c.weight += urgentWeight
 			}
 			list = append(list, c)
 		}
@@ -91,25 +91,25 @@
 	return list
 }
 
-// rankOf returns the priority of a tenant's requests on a route. 0 is the highest.
-func rankOf(config *routetable.Table, tenant string, route *routetable.Route) int {
+// priorityOf returns the priority of a tenant's requests on a route. 0 is the highest.
+func priorityOf(config *routetable.Table, tenant string, route *routetable.Route) int {
 	if config == nil {
 		return route.Priority
 	}
 	return config.Tenants.Named(tenant).Rank(route.Priority)
 }
 
-// rank returns the priority of a tenant's requests on a route in the current
+// weight returns the priority of a tenant's requests on a route in the current
 // configuration.
-func (r *runner) rank(tenant string, route *routetable.Route) int {
-	return rankOf(r.manager.config.Routes(), tenant, route)
+func (r *runner) priority(tenant string, route *routetable.Route) int {
+	return priorityOf(r.manager.config.Routes(), tenant, route)
 }
 
-// sortCandidates sorts candidates by priority, then by rank, then by the submission time of
+// sortCandidates sorts candidates by priority, then by weight, then by the submission time of
 // their jobs.
 func sortCandidates(list []candidate) {
 	slices.SortStableFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(b.rank, a.rank), cmp.Compare(a.job.head.SubmittedMillis, b.job.head.SubmittedMillis))
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(b.weight, a.weight), cmp.Compare(a.job.head.SubmittedMillis, b.job.head.SubmittedMillis))
 	})
 }
 
@@ -240,7 +240,7 @@
 	want := r.needOf(c, pool)
 	want.avoid = item.avoid
 	want.short = item.short && len(item.text.events) == 0
-	want.patient = !item.urgent && awaited(pool.backends) && p.demands[c.job].patient(r.lengthLeft(c.job, c.index))
+	want.idleOnly = !item.urgent && awaited(pool.backends) && p.demands[c.job].patient(r.lengthLeft(c.job, c.index))
 	if r.goToTarget(c, pool, want, p) {
 		p.demands[c.job].running++
 		return
--- a/internal/gatewaynode/batch/schedule_test.go
+++ b/internal/gatewaynode/batch/schedule_test.go
@@ -61,8 +61,8 @@
 	older := &ownedJob{id: "older", head: Head{SubmittedMillis: 1}}
 	newer := &ownedJob{id: "newer", head: Head{SubmittedMillis: 2}}
 	list := []candidate{
-		{job: newer, index: 0, rank: 50}, {job: newer, index: 1, rank: 90}, {job: older, index: 2, rank: 50},
-		{job: newer, index: 3, rank: 10 + urgentRank, moving: true},
+		{job: newer, index: 0, weight: 50}, {job: newer, index: 1, weight: 90}, {job: older, index: 2, weight: 50},
+		{job: newer, index: 3, weight: 10 + urgentWeight, moving: true},
 	}
 	sortCandidates(list)
 	for i, want := range []int{3, 1, 2, 0} {
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -113,12 +113,12 @@
 	want := scorerWant{Request: request}
 	if len(state.calls) > 0 {
 		first := state.calls[0]
-		if now-first.sent < secondAfter(pool, route) || !r.seconds.left() {
+		if now-first.sent < hedgeDelay(pool, route) || !r.seconds.left() {
 			return
 		}
 		want.avoid = first.backend.ID
 	}
-	want.patient = state.sends == 0 && awaited(pool) && patientScore(p.demands[job].longest, usualPace, usualScore(pool), (now-state.since).Duration())
+	want.idleOnly = state.sends == 0 && awaited(pool) && patientScore(p.demands[job].longest, usualPace, usualScore(pool), (now-state.since).Duration())
 	chosen := pickScorer(pool, want, p.world)
 	if chosen < 0 {
 		return
@@ -150,7 +150,7 @@
 	defer r.mu.Unlock()
 	item := &c.job.items[c.index]
 	item.score.remove(c)
-	c.blame(fate)
+	c.recordBackendFailure(fate)
 	if upstream.Withheld(errorOf(fate)) {
 		item.score.sends--
 	}
--- a/internal/gatewaynode/batch/scorecall.go
+++ b/internal/gatewaynode/batch/scorecall.go
@@ -116,7 +116,7 @@
 	answer, err := m.config.Client.Do(c.ctx, &upstream.Call{
 		ID: scorer.ID, Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Body: scorer.Body,
 		Address: c.backend.Address, Instance: c.backend.ID, Tenant: c.tenant(), Deadline: started.Add(c.limit.Duration()),
-		Priority: upstream.PriorityOf(c.runner.rank(c.tenant(), c.route), 0), Admit: c.admit,
+		Priority: upstream.PriorityOf(c.runner.priority(c.tenant(), c.route), 0), Admit: c.admit,
 		Purpose: upstream.PurposeScore, Work: c.work,
 	})
 	if err != nil {
@@ -165,9 +165,9 @@
 	}
 }
 
-// blame records a failure or refusal of the call in the state of its backend. A call that was
+// recordBackendFailure records a failure or refusal of the call in the state of its backend. A call that was
 // canceled or withheld by this node says nothing about the backend.
-func (c *scoreCall) blame(fate scoreFate) {
+func (c *scoreCall) recordBackendFailure(fate scoreFate) {
 	backends, now := c.runner.manager.config.Fleet, time.Now()
 	if c.job.ctx.Err() != nil || errors.Is(c.ctx.Err(), context.Canceled) {
 		return
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -34,10 +34,10 @@
 	scoreTimeout clock.Millis = 2000
 	// failedPause is the delay in ms before the next call after a response without a score.
 	failedPause clock.Millis = 30
-	// secondLatencies and secondTargets determine the delay of a hedging call: the greater of
+	// hedgeLatencies and hedgeTargets determine the delay of a hedging call: the greater of
 	// so many latencies and this share of the target.
-	secondLatencies = 4
-	secondTargets   = 0.5
+	hedgeLatencies = 4
+	hedgeTargets   = 0.5
 )
 
 // scorerWant holds the requirements of a scoring call on a backend.
@@ -46,8 +46,8 @@
 	eligibility.Request
 	// avoid is the ID of the backend of the first call if this is a hedging call.
 	avoid string
-	// patient restricts the call to backends with an idle connection.
-	patient bool
+	// idleOnly restricts the call to backends with an idle connection.
+	idleOnly bool
 }
 
 // pickScorer returns the index of the backend with the lowest cost for a scoring call, or -1 if
@@ -58,7 +58,7 @@
 	usual := usualScore(pool)
 	for i := range pool {
 		b := &pool[i]
-		if b.ID == want.avoid || b.Suspended(world.Now) || !hasRoom(b) || want.patient && b.Reach.Idle == 0 || !world.May(b, want.Request) {
+		if b.ID == want.avoid || b.Suspended(world.Now) || !hasRoom(b) || want.idleOnly && b.Reach.Idle == 0 || !world.May(b, want.Request) {
 			continue
 		}
 		cost := scorerCost(b, usual, world.Now)
@@ -120,9 +120,9 @@
 	return min(limit, most)
 }
 
-// secondAfter returns the time after which a call without a response is hedged by a second one.
-func secondAfter(pool []fleet.Backend, route *routetable.Route) clock.Millis {
-	return clock.Of(max(secondLatencies*usualScore(pool), time.Duration(secondTargets*float64(route.Target))))
+// hedgeDelay returns the time after which a call without a response is hedged by a second one.
+func hedgeDelay(pool []fleet.Backend, route *routetable.Route) clock.Millis {
+	return clock.Of(max(hedgeLatencies*usualScore(pool), time.Duration(hedgeTargets*float64(route.Target))))
 }
 
 // usualScore returns the lowest known scoring latency in the pool, or scoreUsual if none is
@@ -140,18 +140,18 @@
 	return usual
 }
 
-// secondCalls is a token bucket for hedging calls, filled by first calls.
-type secondCalls struct {
+// hedgeBudget is a token bucket for hedging calls, filled by first calls.
+type hedgeBudget struct {
 	tokens float64
 }
 
 const (
-	// secondShare is the number of tokens that a first call adds.
-	secondShare = 0.05
-	// secondsMost is the capacity of the bucket.
-	secondsMost = 4
+	// hedgeShare is the number of tokens that a first call adds.
+	hedgeShare = 0.05
+	// maxHedgeTokens is the capacity of the bucket.
+	maxHedgeTokens = 4
 )
 
-func (s *secondCalls) add()       { s.tokens = min(s.tokens+secondShare, secondsMost) }
-func (s *secondCalls) left() bool { return s.tokens >= 1 }
-func (s *secondCalls) take()      { s.tokens-- }
+func (s *hedgeBudget) add()       { s.tokens = min(s.tokens+hedgeShare, maxHedgeTokens) }
+func (s *hedgeBudget) left() bool { return s.tokens >= 1 }
+func (s *hedgeBudget) take()      { s.tokens-- }
--- a/internal/gatewaynode/batch/scoreplace_test.go
+++ b/internal/gatewaynode/batch/scoreplace_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-func TestSecondCallsAreLimited(t *testing.T) {
-	var budget secondCalls
+func TestHedgeBudget(t *testing.T) {
+	var budget hedgeBudget
 	taken := 0
 	for range 1000 {
 		budget.add()
@@ -91,7 +91,7 @@
 			taken++
 		}
 	}
-	if most := int(1000*secondShare) + secondsMost; taken > most || taken == 0 {
+	if most := int(1000*hedgeShare) + maxHedgeTokens; taken > most || taken == 0 {
 		t.Errorf("%d second calls for 1000 first ones, want 1 to %d", taken, most)
 	}
 }
--- a/internal/gatewaynode/batch/text.go
+++ b/internal/gatewaynode/batch/text.go
@@ -65,16 +65,16 @@
 	order []string
 }
 
-// keptText is a text with the kind of the job that it belongs to.
+// keptText is a text with the residency of the job that it belongs to.
 type keptText struct {
 	made text
-	of   kind
+	of   residency
 }
 
 func newKeptTexts() keptTexts { return keptTexts{texts: make(map[string]keptText)} }
 
 // put keeps a text and drops the oldest ones beyond keptMost.
-func (k *keptTexts) put(item string, made text, of kind) {
+func (k *keptTexts) put(item string, made text, of residency) {
 	if _, found := k.texts[item]; !found {
 		k.order = append(k.order, item)
 	}
--- a/internal/gatewaynode/batch/text_test.go
+++ b/internal/gatewaynode/batch/text_test.go
@@ -48,7 +48,7 @@
 func TestKeptTextsDropTheOldest(t *testing.T) {
 	kept := newKeptTexts()
 	for i := range keptMost + 10 {
-		kept.put(fmt.Sprint(i), made(1), kind{})
+		kept.put(fmt.Sprint(i), made(1), residency{})
 	}
 	if _, found := kept.take("9"); found {
 		t.Error("oldest text was not dropped")
