--- a/internal/gatewaynode/quarantine/handler.go
+++ b/internal/gatewaynode/quarantine/handler.go
@@ -47,7 +47,7 @@
 			return
 		}
 		if !b.Clear(work) {
-			http.Error(w, "work is not suspected", http.StatusNotFound)
+			http.Error(w, "nothing is known against this work", http.StatusNotFound)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
