--- a/internal/gatewaynode/forward/began.go
+++ b/internal/gatewaynode/forward/began.go
@@ -58,7 +58,7 @@
 		return true
 	case usual > 0 && after > max(maxBackendSilence, hedgeLatencies*usual):
 		return false
-	case failure.Receipt == upstream.ReceiptWhole:
+	case failure.Receipt == upstream.ReceiptComplete:
 		return true
 	}
 	return after > max(usual, maxUnreadDelay)
--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -94,12 +94,12 @@
 func (b *Tracker) record(end Failure, now time.Time) {
 	if b.answered.lately(end.Work, now) {
 		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
-			eventlog.Work: end.Work.String(), eventlog.Backend: end.Backend, "how": string(end.How), eventlog.Cause: causeAnswered,
+			eventlog.Work: end.Work.String(), eventlog.Backend: end.Backend, "how": string(end.Kind), eventlog.Cause: causeAnswered,
 		})
 		return
 	}
 	if s := b.suspects[end.Work]; s != nil {
-		end.Sequence = s.lifeOf(end.Backend, end.How, now)
+		end.Sequence = s.lifeOf(end.Backend, end.Kind, now)
 	}
 	if !b.add(known{Failure: end, at: now}) {
 		return
@@ -113,7 +113,7 @@
 func (b *Tracker) publish(s *suspect) {
 	for _, k := range s.ends {
 		alone := len(s.ends) == 1
-		if k.stored || k.How == FailureUnresponsive || k.How == FailureUnregistered && alone {
+		if k.stored || k.Kind == FailureUnresponsive || k.Kind == FailureUnregistered && alone {
 			continue
 		}
 		b.outbox.put(k.Failure, !alone)
@@ -148,7 +148,7 @@
 		b.suspects[k.Work] = s
 	}
 	before, had := s.ends[k.id()]
-	if had && (before.How != FailureUnresponsive || k.How == FailureUnresponsive) {
+	if had && (before.Kind != FailureUnresponsive || k.Kind == FailureUnresponsive) {
 		before.stored = before.stored || k.stored
 		s.ends[k.id()] = before
 		return false
@@ -169,7 +169,7 @@
 		return
 	}
 	b.config.Log.Warn(eventlog.RequestSuspected, eventlog.Fields{
-		eventlog.Work: k.Work.String(), eventlog.Backend: k.Backend, eventlog.Service: k.Service, "how": string(k.How),
+		eventlog.Work: k.Work.String(), eventlog.Backend: k.Backend, eventlog.Service: k.Service, "how": string(k.Kind),
 		"seen_by": k.Node, "ends": count,
 	})
 }
@@ -305,12 +305,12 @@
 	for _, s := range b.suspects {
 		told := Suspect{Work: s.work, Held: s.held, Changed: now.Sub(s.changed)}
 		for _, id := range slices.Sorted(maps.Keys(s.ends)) {
-			told.Ends = append(told.Ends, s.ends[id].Failure)
+			told.Failures = append(told.Failures, s.ends[id].Failure)
 		}
 		list = append(list, told)
 	}
 	slices.SortFunc(list, func(x, y Suspect) int {
-		return cmp.Or(cmp.Compare(len(y.Ends), len(x.Ends)), bytes.Compare(x.Work[:], y.Work[:]))
+		return cmp.Or(cmp.Compare(len(y.Failures), len(x.Failures)), bytes.Compare(x.Work[:], y.Work[:]))
 	})
 	return list
 }
@@ -332,7 +332,7 @@
 	}
 	for _, s := range b.suspects {
 		for id, k := range s.ends {
-			if k.How == FailureUnregistered && k.Node == b.config.Node && b.config.Backend(k.Backend).Present {
+			if k.Kind == FailureUnregistered && k.Node == b.config.Node && b.config.Backend(k.Backend).Present {
 				b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 					eventlog.Work: s.work.String(), eventlog.Backend: k.Backend, eventlog.Cause: "registry lists the back end again",
 				})
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/book_test.go
@@ -66,7 +66,7 @@
 func nameOf(f fingerprint.Fingerprint) string { return strings.TrimRight(string(f[:]), "\x00") }
 
 var endNames = map[string]upstream.End{
-	"whole": upstream.EndWhole, "not-run": upstream.EndNotRun, "lost": upstream.EndLost, "given-up": upstream.EndGivenUp, "unusable": upstream.EndUnusable,
+	"whole": upstream.EndComplete, "not-run": upstream.EndNotRun, "lost": upstream.EndLost, "given-up": upstream.EndCancelled, "unusable": upstream.EndMalformed,
 }
 
 func arg(d *datadriven.TestData, name, otherwise string) string {
@@ -100,12 +100,12 @@
 		_, _ = fmt.Sscan(arg(d, "status", "0"), &status)
 		s.traces[name].End(endNames[arg(d, "as", "lost")], status)
 	case "row":
-		end := Failure{Work: workOf(arg(d, "work", "")), Backend: name, How: FailureRefused, Node: "n2"}
+		end := Failure{Work: workOf(arg(d, "work", "")), Backend: name, Kind: FailureRefused, Node: "n2"}
 		row := rowOf(end)
 		row.Deleted = arg(d, "deleted", "") != ""
 		s.book.Apply([]rowstore.Row{row}, false)
 	case "told":
-		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, How: FailureRefused, Node: "n2"}}))
+		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, Kind: FailureRefused, Node: "n2"}}))
 	case "age":
 		s.book.age(time.Now())
 	case "lift":
@@ -137,8 +137,8 @@
 			held = " quarantined"
 		}
 		fmt.Fprintf(&out, "%s:", nameOf(suspect.Work))
-		for _, end := range suspect.Ends {
-			fmt.Fprintf(&out, " %s/%s", end.id(), end.How)
+		for _, end := range suspect.Failures {
+			fmt.Fprintf(&out, " %s/%s", end.id(), end.Kind)
 		}
 		fmt.Fprintln(&out, held)
 	}
@@ -183,7 +183,7 @@
 		s := newScene()
 		for i := range 2 * suspectsMost {
 			for e := range 1 + 2*((i+1)%2)*((i+2)/2%2) {
-				s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), How: FailureRefused, Node: "n2"}}))
+				s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), Kind: FailureRefused, Node: "n2"}}))
 			}
 		}
 		held, suspected := s.book.HeldCount()
@@ -213,8 +213,8 @@
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
 			t.Error("the loss of a call that is not followed counts as evidence")
 		}
-		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf("w"), Backend: "b3", How: FailureRefused, Node: "n2"}}))
-		over().End(upstream.EndWhole, 200)
+		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf("w"), Backend: "b3", Kind: FailureRefused, Node: "n2"}}))
+		over().End(upstream.EndComplete, 200)
 		if _, suspected := s.book.HeldCount(); suspected > 0 {
 			t.Error("the success of a call that is not followed does not clear its work")
 		}
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -45,7 +45,7 @@
 	// the same name.
 	Sequence int
 	Service  string
-	How      FailureKind
+	Kind     FailureKind
 	// Node is the name of the node that detected the failure.
 	Node string
 }
@@ -66,7 +66,7 @@
 
 // counts reports whether the failure counts as evidence at time now: a silent one expires.
 func (k known) counts(now time.Time) bool {
-	return k.How != FailureUnresponsive || now.Sub(k.at) < silentKeep
+	return k.Kind != FailureUnresponsive || now.Sub(k.at) < silentKeep
 }
 
 // suspect is a work with at least one failure.
@@ -125,7 +125,7 @@
 		if k.Backend != backend {
 			continue
 		}
-		if now.Sub(k.at) < same || k.How == FailureUnresponsive {
+		if now.Sub(k.at) < same || k.Kind == FailureUnresponsive {
 			return k.Sequence
 		}
 		life = max(life, k.Sequence+1)
@@ -135,8 +135,8 @@
 
 // Suspect describes a suspected work to operators.
 type Suspect struct {
-	Work fingerprint.Fingerprint
-	Ends []Failure
+	Work     fingerprint.Fingerprint
+	Failures []Failure
 	// Held reports whether the work is quarantined.
 	Held bool
 	// Changed is the time since the last change.
--- a/internal/gatewaynode/quarantine/handler.go
+++ b/internal/gatewaynode/quarantine/handler.go
@@ -31,7 +31,7 @@
 		list := []told{}
 		for _, s := range b.Suspects() {
 			t := told{Work: s.Work.String(), Held: s.Held, ChangedMS: s.Changed.Milliseconds()}
-			for _, end := range s.Ends {
+			for _, end := range s.Failures {
 				t.Ends = append(t.Ends, toldEnd{Backend: end.Backend, row: rowValue(end)})
 			}
 			list = append(list, t)
--- a/internal/gatewaynode/quarantine/handler_test.go
+++ b/internal/gatewaynode/quarantine/handler_test.go
@@ -11,7 +11,7 @@
 	s := newScene()
 	work := workOf("w")
 	for _, backend := range []string{"b1", "b2", "b3"} {
-		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: work, Backend: backend, Service: "app", How: FailureRefused, Node: "n2"}}))
+		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: work, Backend: backend, Service: "app", Kind: FailureRefused, Node: "n2"}}))
 	}
 	handler := Handler(s.book)
 	ask := func(method, path string) (int, string) {
--- a/internal/gatewaynode/quarantine/probe.go
+++ b/internal/gatewaynode/quarantine/probe.go
@@ -109,7 +109,7 @@
 	}
 	for r := range held.runs {
 		if r.lost || !r.ended.IsZero() && r.silent(now) {
-			b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, How: FailureUnresponsive, Node: b.config.Node}, now)
+			b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, Kind: FailureUnresponsive, Node: b.config.Node}, now)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 			count++
 			if !held.leaving {
 				works[r.work.String()] = true
-				b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, How: how, Node: b.config.Node}, now)
+				b.record(Failure{Work: r.work, Backend: held.id, Service: held.service, Kind: how, Node: b.config.Node}, now)
 			}
 		}
 		b.drop(r)
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -57,11 +57,11 @@
 
 // with returns end with the fields of the row value set.
 func (r row) with(end Failure) Failure {
-	end.Service, end.How, end.Node = r.Service, r.How, r.Node
+	end.Service, end.Kind, end.Node = r.Service, r.How, r.Node
 	return end
 }
 
-func rowValue(end Failure) row { return row{Service: end.Service, How: end.How, Node: end.Node} }
+func rowValue(end Failure) row { return row{Service: end.Service, How: end.Kind, Node: end.Node} }
 
 // rowOf encodes a failure as a row.
 func rowOf(end Failure) rowstore.Row {
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -137,16 +137,16 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	switch end {
-	case upstream.EndWhole:
+	case upstream.EndComplete:
 		b.drop(r)
 		if status >= successFrom && status < successBelow {
 			b.succeeded(r, now)
 		}
-	case upstream.EndNotRun, upstream.EndUnusable:
+	case upstream.EndNotRun, upstream.EndMalformed:
 		b.drop(r)
 	case upstream.EndLost:
 		r.ended, r.lost = now, true
-	case upstream.EndGivenUp:
+	case upstream.EndCancelled:
 		r.ended = now
 	}
 	if r.followed() && (r.lost || r.silent(now) && now.Sub(r.backend.probed) >= silentProbeRest) {
--- a/internal/gatewaynode/upstream/body.go
+++ b/internal/gatewaynode/upstream/body.go
@@ -96,7 +96,7 @@
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		b.tell(EndWhole)
+		b.tell(EndComplete)
 	case err != nil:
 		b.tell(endOf(err, b.ctx.Err() != nil))
 	}
@@ -105,7 +105,7 @@
 
 // Close implements io.Closer.
 func (b *tracedBody) Close() error {
-	b.tell(EndGivenUp)
+	b.tell(EndCancelled)
 	return b.ReadCloser.Close()
 }
 
--- a/internal/gatewaynode/upstream/receipt.go
+++ b/internal/gatewaynode/upstream/receipt.go
@@ -14,8 +14,8 @@
 	ReceiptUnknown Receipt = iota
 	// ReceiptPartial means that the call was not read completely, or not at all.
 	ReceiptPartial
-	// ReceiptWhole means that the call was read completely.
-	ReceiptWhole
+	// ReceiptComplete means that the call was read completely.
+	ReceiptComplete
 )
 
 // String returns the name of the receipt in logs.
@@ -44,7 +44,7 @@
 	case !known:
 		return ReceiptUnknown
 	case all:
-		return ReceiptWhole
+		return ReceiptComplete
 	}
 	return ReceiptPartial
 }
--- a/internal/gatewaynode/upstream/receipt_test.go
+++ b/internal/gatewaynode/upstream/receipt_test.go
@@ -26,8 +26,8 @@
 		// want holds the possible receipts: a reset may arrive before or after the end.
 		want []Receipt
 	}{
-		{"read and closed", nil, func(conn net.Conn) { read(conn); _ = conn.Close() }, []Receipt{ReceiptWhole}},
-		{"read, worked on and closed", nil, func(conn net.Conn) { read(conn); time.Sleep(20 * time.Millisecond); _ = conn.Close() }, []Receipt{ReceiptWhole}},
+		{"read and closed", nil, func(conn net.Conn) { read(conn); _ = conn.Close() }, []Receipt{ReceiptComplete}},
+		{"read, worked on and closed", nil, func(conn net.Conn) { read(conn); time.Sleep(20 * time.Millisecond); _ = conn.Close() }, []Receipt{ReceiptComplete}},
 		{"closed unread", nil, func(conn net.Conn) { time.Sleep(20 * time.Millisecond); _ = conn.Close() }, []Receipt{ReceiptUnknown}},
 		{"closed before it was sent", func(conn net.Conn) { _ = conn.Close() }, nil, []Receipt{ReceiptPartial, ReceiptUnknown}},
 		{"read and reset", nil, func(conn net.Conn) {
--- a/internal/gatewaynode/upstream/trace.go
+++ b/internal/gatewaynode/upstream/trace.go
@@ -27,16 +27,16 @@
 type End int
 
 const (
-	// EndWhole means that the complete answer was received.
-	EndWhole End = iota
+	// EndComplete means that the complete answer was received.
+	EndComplete End = iota
 	// EndNotRun means that the back end stated that it did not run the call.
 	EndNotRun
 	// EndLost means that the other side ended the connection before the answer was complete.
 	EndLost
-	// EndGivenUp means that this node cancelled the call before the answer was complete.
-	EndGivenUp
-	// EndUnusable means that the received bytes are no valid answer.
-	EndUnusable
+	// EndCancelled means that this node cancelled the call before the answer was complete.
+	EndCancelled
+	// EndMalformed means that the received bytes are no valid answer.
+	EndMalformed
 )
 
 // lost reports whether err means that the other side ended the connection.
@@ -54,11 +54,11 @@
 func endOf(err error, ended bool) End {
 	switch {
 	case ended:
-		return EndGivenUp
+		return EndCancelled
 	case lost(err):
 		return EndLost
 	}
-	return EndUnusable
+	return EndMalformed
 }
 
 // untraced is the Trace of calls that are not observed.
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -283,7 +283,7 @@
 
 // Broken returns the Error of a call whose answer is incomplete or malformed.
 func (a *Answer) Broken(cause error) *Error {
-	return &Error{Fate: Unknown, Cause: cause, Sent: a.Sent, After: time.Since(a.Sent), End: EndUnusable, Receipt: ReceiptWhole, Heard: true}
+	return &Error{Fate: Unknown, Cause: cause, Sent: a.Sent, After: time.Since(a.Sent), End: EndMalformed, Receipt: ReceiptComplete, Heard: true}
 }
 
 // Do sends a call and returns once the head of its answer was received. Its errors are of
