--- a/internal/gatewaynode/quarantine/answered.go
+++ b/internal/gatewaynode/quarantine/answered.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// answeredMost bounds the successful works that a node remembers, to about 150 kB. At
+	// maxAnswered bounds the successful works that a node remembers, to about 150 kB. At
 	// 300 requests per second it covers seven seconds.
-	answeredMost = 2048
+	maxAnswered = 2048
 	// answeredKeep is how long a success overrules evidence against a work. It is short
 	// because a work that was harmless before a release may be deadly after it.
 	answeredKeep = 10 * time.Second
@@ -35,13 +35,13 @@
 	if known {
 		return
 	}
-	if len(a.ring) < answeredMost {
+	if len(a.ring) < maxAnswered {
 		a.ring = append(a.ring, work)
 		return
 	}
 	delete(a.at, a.ring[a.next])
 	a.ring[a.next] = work
-	a.next = (a.next + 1) % answeredMost
+	a.next = (a.next + 1) % maxAnswered
 }
 
 // lately reports whether a work succeeded within answeredKeep before now.
--- a/internal/gatewaynode/quarantine/book.go
+++ b/internal/gatewaynode/quarantine/book.go
@@ -38,8 +38,8 @@
 	Service          string
 }
 
-// suspectsMost bounds the suspected works that a node remembers, to about 2 MB.
-const suspectsMost = 4096
+// maxSuspects bounds the suspected works that a node remembers, to about 2 MB.
+const maxSuspects = 4096
 
 // Tracker attributes failures of back ends to the works that they were running and decides
 // which works are quarantined. It is safe for concurrent use.
@@ -58,8 +58,8 @@
 	suspects map[fingerprint.Fingerprint]*suspect
 	answered *answered
 	outbox   outbox
-	// failures is the number of consecutive failed writes. Only Run uses it.
-	failures int
+	// failedWrites is the number of consecutive failed writes. Only Run uses it.
+	failedWrites int
 	// telling reports whether a Writer.Tell is in progress.
 	telling atomic.Bool
 	// held maps quarantined works to their number of failures. It is copied on write, so that
@@ -69,168 +69,168 @@
 
 // New returns an empty Tracker.
 func New(config Config) *Tracker {
-	b := &Tracker{
+	t := &Tracker{
 		config: config, backends: make(map[string]*backend), suspects: make(map[fingerprint.Fingerprint]*suspect),
 		answered: newAnswered(), outbox: newOutbox(),
 	}
-	b.held.Store(&map[fingerprint.Fingerprint]int{})
-	return b
+	t.held.Store(&map[fingerprint.Fingerprint]int{})
+	return t
 }
 
 // Held returns the number of back ends that failed while running a quarantined work, or 0 if
 // the work is not quarantined.
-func (b *Tracker) Held(work fingerprint.Fingerprint) int { return (*b.held.Load())[work] }
+func (t *Tracker) Held(work fingerprint.Fingerprint) int { return (*t.held.Load())[work] }
 
 // HeldCount returns the number of quarantined works and of all suspected works, the
 // quarantined ones included.
-func (b *Tracker) HeldCount() (held, suspected int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(*b.held.Load()), len(b.suspects)
+func (t *Tracker) HeldCount() (held, suspected int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(*t.held.Load()), len(t.suspects)
 }
 
 // record adds a failure that this node detected, unless a recent success speaks against it.
-// The caller holds b.mu.
-func (b *Tracker) record(end Failure, now time.Time) {
-	if b.answered.lately(end.Work, now) {
-		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
-			eventlog.Work: end.Work.String(), eventlog.Backend: end.Backend, "how": string(end.Kind), eventlog.Cause: causeAnswered,
+// The caller holds t.mu.
+func (t *Tracker) record(failure Failure, now time.Time) {
+	if t.answered.lately(failure.Work, now) {
+		t.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
+			eventlog.Work: failure.Work.String(), eventlog.Backend: failure.Backend, "how": string(failure.Kind), eventlog.Cause: causeAnswered,
 		})
 		return
 	}
-	if s := b.suspects[end.Work]; s != nil {
-		end.Sequence = s.lifeOf(end.Backend, end.Kind, now)
+	if s := t.suspects[failure.Work]; s != nil {
+		failure.Sequence = s.sequenceOf(failure.Backend, failure.Kind, now)
 	}
-	if !b.add(known{Failure: end, at: now}) {
+	if !t.add(known{Failure: failure, at: now}) {
 		return
 	}
-	b.publish(b.suspects[end.Work])
+	t.publish(t.suspects[failure.Work])
 }
 
 // publish queues the failures of a work for writing. A single FailureUnregistered stays
 // local: while the store is unavailable, all registry entries expire together and every
-// unanswered call would become evidence. The caller holds b.mu.
-func (b *Tracker) publish(s *suspect) {
-	for _, k := range s.ends {
-		alone := len(s.ends) == 1
+// unanswered call would become evidence. The caller holds t.mu.
+func (t *Tracker) publish(s *suspect) {
+	for _, k := range s.failures {
+		alone := len(s.failures) == 1
 		if k.stored || k.Kind == FailureUnresponsive || k.Kind == FailureUnregistered && alone {
 			continue
 		}
-		b.outbox.put(k.Failure, !alone)
+		t.outbox.put(k.Failure, !alone)
 	}
 }
 
 // learn adds a failure that comes from another node or from the store. If this node recently
-// received a success for the work, it deletes the row instead. The caller holds b.mu.
-func (b *Tracker) learn(k known) {
-	if b.answered.lately(k.Work, k.at) {
-		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
+// received a success for the work, it deletes the row instead. The caller holds t.mu.
+func (t *Tracker) learn(k known) {
+	if t.answered.lately(k.Work, k.at) {
+		t.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 			eventlog.Work: k.Work.String(), eventlog.Backend: k.Backend, "seen_by": k.Node, eventlog.Cause: causeAnswered,
 		})
-		b.outbox.remove(keyOf(k.Failure))
+		t.outbox.remove(keyOf(k.Failure))
 		return
 	}
-	b.add(k)
+	t.add(k)
 }
 
 // causeAnswered is the logged cause when a recent success overrules a failure.
 const causeAnswered = "answered with success recently"
 
 // add adds a failure and reports whether it is new, or confirms a silent one. The caller holds
-// b.mu.
-func (b *Tracker) add(k known) bool {
-	s := b.suspects[k.Work]
+// t.mu.
+func (t *Tracker) add(k known) bool {
+	s := t.suspects[k.Work]
 	if s == nil {
-		if len(b.suspects) >= suspectsMost {
-			b.evict()
+		if len(t.suspects) >= maxSuspects {
+			t.evict()
 		}
-		s = &suspect{work: k.Work, ends: make(map[endID]known)}
-		b.suspects[k.Work] = s
+		s = &suspect{work: k.Work, failures: make(map[endID]known)}
+		t.suspects[k.Work] = s
 	}
-	before, had := s.ends[k.id()]
+	before, had := s.failures[k.id()]
 	if had && (before.Kind != FailureUnresponsive || k.Kind == FailureUnresponsive) {
 		before.stored = before.stored || k.stored
-		s.ends[k.id()] = before
+		s.failures[k.id()] = before
 		return false
 	}
-	s.ends[k.id()] = k
+	s.failures[k.id()] = k
 	s.touch(k.at)
-	b.saySuspected(s, k)
-	b.judge(s, k.at)
+	t.saySuspected(s, k)
+	t.judge(s, k.at)
 	return true
 }
 
 // saySuspected logs a failure of a work from the second on. The first failures are covered by the
 // event for the back end, since its failure makes all of its unanswered requests suspects.
-// The caller holds b.mu.
-func (b *Tracker) saySuspected(s *suspect, k known) {
+// The caller holds t.mu.
+func (t *Tracker) saySuspected(s *suspect, k known) {
 	count := s.count(k.at)
 	if count < 2 {
 		return
 	}
-	b.config.Log.Warn(eventlog.RequestSuspected, eventlog.Fields{
+	t.config.Log.Warn(eventlog.RequestSuspected, eventlog.Fields{
 		eventlog.Work: k.Work.String(), eventlog.Backend: k.Backend, eventlog.Service: k.Service, "how": string(k.Kind),
 		"seen_by": k.Node, "ends": count,
 	})
 }
 
 // evict forgets the work with the fewest failures, and among equals the one that has not changed
-// for longest. The caller holds b.mu.
-func (b *Tracker) evict() {
+// for longest. The caller holds t.mu.
+func (t *Tracker) evict() {
 	var least *suspect
-	for _, s := range b.suspects {
-		if least == nil || len(s.ends) < len(least.ends) || len(s.ends) == len(least.ends) && s.changed.Before(least.changed) {
+	for _, s := range t.suspects {
+		if least == nil || len(s.failures) < len(least.failures) || len(s.failures) == len(least.failures) && s.changed.Before(least.changed) {
 			least = s
 		}
 	}
-	b.config.Log.Warn(eventlog.SuspicionDropped, eventlog.Fields{
-		eventlog.Work: least.work.String(), "ends": len(least.ends), eventlog.Cause: "too many suspected works",
+	t.config.Log.Warn(eventlog.SuspicionDropped, eventlog.Fields{
+		eventlog.Work: least.work.String(), "ends": len(least.failures), eventlog.Cause: "too many suspected works",
 	})
-	b.forget(least, true)
+	t.forget(least, true)
 }
 
-// judge quarantines or releases a work by its number of failures. The caller holds b.mu.
-func (b *Tracker) judge(s *suspect, now time.Time) {
+// judge quarantines or releases a work by its number of failures. The caller holds t.mu.
+func (t *Tracker) judge(s *suspect, now time.Time) {
 	count := s.count(now)
 	held := count >= QuarantineThreshold
 	if held == s.held {
-		if held && (*b.held.Load())[s.work] != count {
-			b.setHeld(s.work, count)
+		if held && (*t.held.Load())[s.work] != count {
+			t.setHeld(s.work, count)
 		}
 		return
 	}
 	s.held, s.heldSince = held, now
-	fields := eventlog.Fields{eventlog.Work: s.work.String(), "ends": count, "backends": slices.Sorted(maps.Keys(s.ends))}
+	fields := eventlog.Fields{eventlog.Work: s.work.String(), "ends": count, "backends": slices.Sorted(maps.Keys(s.failures))}
 	if !held {
-		b.setHeld(s.work, 0)
-		b.config.Log.Warn(eventlog.QuarantineEnded, fields)
+		t.setHeld(s.work, 0)
+		t.config.Log.Warn(eventlog.QuarantineEnded, fields)
 		return
 	}
-	b.setHeld(s.work, count)
-	fields["cut"] = b.cutRuns(s.work)
-	b.config.Log.Warn(eventlog.Quarantined, fields)
+	t.setHeld(s.work, count)
+	fields["cut"] = t.cutRuns(s.work)
+	t.config.Log.Warn(eventlog.Quarantined, fields)
 }
 
 // setHeld sets the number of failures of a quarantined work, or removes the work from the
-// quarantine if ends is 0. The caller holds b.mu.
-func (b *Tracker) setHeld(work fingerprint.Fingerprint, ends int) {
-	next := maps.Clone(*b.held.Load())
-	if ends == 0 {
+// quarantine if count is 0. The caller holds t.mu.
+func (t *Tracker) setHeld(work fingerprint.Fingerprint, count int) {
+	next := maps.Clone(*t.held.Load())
+	if count == 0 {
 		delete(next, work)
 	} else {
-		next[work] = ends
+		next[work] = count
 	}
-	b.held.Store(&next)
-	if b.config.OnHeld != nil {
-		go b.config.OnHeld()
+	t.held.Store(&next)
+	if t.config.OnHeld != nil {
+		go t.config.OnHeld()
 	}
 }
 
 // cutRuns cancels the calls of a work that are in progress, as they may still be queued at
-// their back ends. It returns their number. The caller holds b.mu.
-func (b *Tracker) cutRuns(work fingerprint.Fingerprint) int {
+// their back ends. It returns their number. The caller holds t.mu.
+func (t *Tracker) cutRuns(work fingerprint.Fingerprint) int {
 	count := 0
-	for _, held := range b.backends {
+	for _, held := range t.backends {
 		for r := range held.runs {
 			if r.work == work && r.ended.IsZero() {
 				count++
@@ -241,71 +241,71 @@
 	return count
 }
 
-// succeeded clears a work after a complete 2xx response. The caller holds b.mu.
-func (b *Tracker) succeeded(r *run, now time.Time) {
+// succeeded clears a work after a complete 2xx response. The caller holds t.mu.
+func (t *Tracker) succeeded(r *run, now time.Time) {
 	work := r.work
-	b.answered.add(work, now)
-	s := b.suspects[work]
+	t.answered.add(work, now)
+	s := t.suspects[work]
 	if s == nil {
 		return
 	}
-	b.config.Log.Warn(eventlog.RequestCleared, eventlog.Fields{
-		eventlog.Work: work.String(), eventlog.Request: r.request, eventlog.Backend: r.at, "ends": len(s.ends),
+	t.config.Log.Warn(eventlog.RequestCleared, eventlog.Fields{
+		eventlog.Work: work.String(), eventlog.Request: r.request, eventlog.Backend: r.at, "ends": len(s.failures),
 		eventlog.Cause: "answered with success",
 	})
-	b.forget(s, true)
+	t.forget(s, true)
 }
 
 // Clear removes all failures of a work on all nodes at an operator's request and reports whether it was
 // suspected.
-func (b *Tracker) Clear(work fingerprint.Fingerprint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[work]
+func (t *Tracker) Clear(work fingerprint.Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[work]
 	if s == nil {
 		return false
 	}
-	b.config.Log.Warn(eventlog.RequestCleared, eventlog.Fields{eventlog.Work: work.String(), "ends": len(s.ends), eventlog.Cause: "lifted by an operator"})
-	b.forget(s, true)
+	t.config.Log.Warn(eventlog.RequestCleared, eventlog.Fields{eventlog.Work: work.String(), "ends": len(s.failures), eventlog.Cause: "lifted by an operator"})
+	t.forget(s, true)
 	return true
 }
 
 // forget removes a work from this node and, if everywhere is set, its rows from the store.
-// The caller holds b.mu.
-func (b *Tracker) forget(s *suspect, everywhere bool) {
+// The caller holds t.mu.
+func (t *Tracker) forget(s *suspect, everywhere bool) {
 	if everywhere {
-		for _, k := range s.ends {
-			b.outbox.remove(keyOf(k.Failure))
+		for _, k := range s.failures {
+			t.outbox.remove(keyOf(k.Failure))
 		}
-		b.endTrial(s)
+		t.endTrial(s)
 	}
-	delete(b.suspects, s.work)
+	delete(t.suspects, s.work)
 	if s.held {
-		b.setHeld(s.work, 0)
+		t.setHeld(s.work, 0)
 	}
 }
 
-// withdraw removes a failure from this node. The caller holds b.mu.
-func (b *Tracker) withdraw(s *suspect, id endID, now time.Time) {
-	delete(s.ends, id)
+// withdraw removes a failure from this node. The caller holds t.mu.
+func (t *Tracker) withdraw(s *suspect, id endID, now time.Time) {
+	delete(s.failures, id)
 	s.touch(now)
-	if len(s.ends) == 0 {
-		b.forget(s, false)
+	if len(s.failures) == 0 {
+		t.forget(s, false)
 		return
 	}
-	b.judge(s, now)
+	t.judge(s, now)
 }
 
 // Suspects returns all suspected works, those with the most failures first.
-func (b *Tracker) Suspects() []Suspect {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := make([]Suspect, 0, len(b.suspects))
+func (t *Tracker) Suspects() []Suspect {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	list := make([]Suspect, 0, len(t.suspects))
 	now := time.Now()
-	for _, s := range b.suspects {
+	for _, s := range t.suspects {
 		told := Suspect{Work: s.work, Held: s.held, Changed: now.Sub(s.changed)}
-		for _, id := range slices.Sorted(maps.Keys(s.ends)) {
-			told.Failures = append(told.Failures, s.ends[id].Failure)
+		for _, id := range slices.Sorted(maps.Keys(s.failures)) {
+			told.Failures = append(told.Failures, s.failures[id].Failure)
 		}
 		list = append(list, told)
 	}
@@ -318,79 +318,79 @@
 // RegistryChanged compares the followed back ends with the registry and must be called after
 // each change of it. Calls to a back end without an entry count as evidence, and a
 // FailureUnregistered of this node is withdrawn if the entry is back.
-func (b *Tracker) RegistryChanged() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) RegistryChanged() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
-	for _, held := range b.backends {
-		entry := b.config.Backend(held.id)
+	for _, held := range t.backends {
+		entry := t.config.Backend(held.id)
 		if entry.Present {
 			held.leaving, held.service = held.leaving || entry.Leaving, entry.Service
 			continue
 		}
-		b.endedUnder(held, FailureUnregistered, now)
+		t.endedUnder(held, FailureUnregistered, now)
 	}
-	for _, s := range b.suspects {
-		for id, k := range s.ends {
-			if k.Kind == FailureUnregistered && k.Node == b.config.Node && b.config.Backend(k.Backend).Present {
-				b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
+	for _, s := range t.suspects {
+		for id, k := range s.failures {
+			if k.Kind == FailureUnregistered && k.Node == t.config.Node && t.config.Backend(k.Backend).Present {
+				t.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 					eventlog.Work: s.work.String(), eventlog.Backend: k.Backend, eventlog.Cause: "registry lists the back end again",
 				})
-				b.outbox.remove(keyOf(k.Failure))
-				b.withdraw(s, id, now)
+				t.outbox.remove(keyOf(k.Failure))
+				t.withdraw(s, id, now)
 			}
 		}
 	}
 }
 
 // age removes expired runs and failures.
-func (b *Tracker) age(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sweep(now)
-	for _, s := range b.suspects {
-		b.dropPresumed(s, now)
-		if b.suspects[s.work] == nil {
+func (t *Tracker) age(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sweep(now)
+	for _, s := range t.suspects {
+		t.dropPresumed(s, now)
+		if t.suspects[s.work] == nil {
 			continue
 		}
 		if now.Before(s.forget) {
 			continue
 		}
 		old := s.oldest()
-		b.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
+		t.config.Log.Info(eventlog.SuspicionDropped, eventlog.Fields{
 			eventlog.Work: s.work.String(), eventlog.Backend: old.Backend, "age_ms": now.Sub(s.changed).Milliseconds(), eventlog.Cause: "expired",
 		})
-		b.outbox.remove(keyOf(old.Failure))
-		b.endTrial(s)
-		b.withdraw(s, old.id(), now)
+		t.outbox.remove(keyOf(old.Failure))
+		t.endTrial(s)
+		t.withdraw(s, old.id(), now)
 	}
 }
 
 // dropPresumed withdraws the silent failures that expired without a confirmation. The caller
-// holds b.mu.
-func (b *Tracker) dropPresumed(s *suspect, now time.Time) {
-	for id, k := range s.ends {
+// holds t.mu.
+func (t *Tracker) dropPresumed(s *suspect, now time.Time) {
+	for id, k := range s.failures {
 		if !k.counts(now) {
-			b.withdraw(s, id, now)
+			t.withdraw(s, id, now)
 		}
 	}
 }
 
 // Dropped returns the number of calls that were not followed and of row changes that were
 // not queued since a bound was reached.
-func (b *Tracker) Dropped() (calls, rows int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.unfollowed, b.outbox.dropped
+func (t *Tracker) Dropped() (calls, rows int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.unfollowed, t.outbox.dropped
 }
 
-// sayEnded logs the failure of a back end that had unanswered calls. The caller holds b.mu.
-func (b *Tracker) sayEnded(held *backend, how FailureKind, count int, works map[string]bool) {
+// sayEnded logs the failure of a back end that had unanswered calls. The caller holds t.mu.
+func (t *Tracker) sayEnded(held *backend, how FailureKind, count int, works map[string]bool) {
 	if count == 0 {
 		return
 	}
 	list := slices.Sorted(maps.Keys(works))
-	b.config.Log.Warn(eventlog.BackendEnded, eventlog.Fields{
+	t.config.Log.Warn(eventlog.BackendEnded, eventlog.Fields{
 		eventlog.Backend: held.id, eventlog.Service: held.service, "how": string(how), "unanswered": count,
 		"works": list[:min(len(list), worksSaid)], "leaving": held.leaving,
 	})
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/book_test.go
@@ -23,7 +23,7 @@
 
 // scene is the Tracker of one node, with back ends whose state a script sets.
 type scene struct {
-	book     *Tracker
+	tracker  *Tracker
 	store    *rowstoretest.Store
 	backends map[string]Registered
 	// dials maps back ends to the outcome of a dial: "refused", "silent" (a timeout) or, by
@@ -39,7 +39,7 @@
 		store: rowstoretest.New(), backends: make(map[string]Registered), dials: make(map[string]string),
 		traces: make(map[string]upstream.Trace),
 	}
-	s.book = New(Config{Node: "n1", Store: s.store, Dial: s.dial, Backend: func(id string) Registered { return s.backends[id] }})
+	s.tracker = New(Config{Node: "n1", Store: s.store, Dial: s.dial, Backend: func(id string) Registered { return s.backends[id] }})
 	return s
 }
 
@@ -89,10 +89,10 @@
 	case "backend":
 		s.backends[name] = Registered{Present: arg(d, "registry", "present") != "gone", Leaving: arg(d, "registry", "") == "leaving"}
 		s.dials[name] = arg(d, "dial", "")
-		s.book.RegistryChanged()
+		s.tracker.RegistryChanged()
 	case "begin":
 		at := arg(d, "at", "")
-		s.traces[name] = s.book.Begin(&upstream.Call{ID: name, Work: workOf(arg(d, "work", "")), Instance: at, Address: at}, func() { s.cut = append(s.cut, name) })
+		s.traces[name] = s.tracker.Begin(&upstream.Call{ID: name, Work: workOf(arg(d, "work", "")), Instance: at, Address: at}, func() { s.cut = append(s.cut, name) })
 	case "heard":
 		s.traces[name].Heard()
 	case "end":
@@ -103,17 +103,17 @@
 		end := Failure{Work: workOf(arg(d, "work", "")), Backend: name, Kind: FailureRefused, Node: "n2"}
 		row := rowOf(end)
 		row.Deleted = arg(d, "deleted", "") != ""
-		s.book.Apply([]rowstore.Row{row}, false)
+		s.tracker.Apply([]rowstore.Row{row}, false)
 	case "told":
-		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, Kind: FailureRefused, Node: "n2"}}))
+		s.tracker.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(arg(d, "work", "")), Backend: name, Kind: FailureRefused, Node: "n2"}}))
 	case "age":
-		s.book.age(time.Now())
+		s.tracker.age(time.Now())
 	case "lift":
-		return fmt.Sprintln(s.book.Clear(workOf(name))), nil
+		return fmt.Sprintln(s.tracker.Clear(workOf(name))), nil
 	case "try":
-		return fmt.Sprintln(s.book.Try(context.Background(), workOf(name))), nil
+		return fmt.Sprintln(s.tracker.Try(context.Background(), workOf(name))), nil
 	case "write":
-		s.book.write(context.Background(), Writer{})
+		s.tracker.write(context.Background(), Writer{})
 	case "sleep":
 		span, err := time.ParseDuration(name)
 		if err != nil {
@@ -131,7 +131,7 @@
 // that were cancelled since the last show.
 func (s *scene) show() string {
 	var out strings.Builder
-	for _, suspect := range s.book.Suspects() {
+	for _, suspect := range s.tracker.Suspects() {
 		held := ""
 		if suspect.Held {
 			held = " quarantined"
@@ -142,9 +142,9 @@
 		}
 		fmt.Fprintln(&out, held)
 	}
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	if puts, deletes := len(s.book.outbox.puts), len(s.book.outbox.deletes); puts+deletes > 0 {
+	s.tracker.mu.Lock()
+	defer s.tracker.mu.Unlock()
+	if puts, deletes := len(s.tracker.outbox.puts), len(s.tracker.outbox.deletes); puts+deletes > 0 {
 		fmt.Fprintf(&out, "to write: %d, to delete: %d\n", puts, deletes)
 	}
 	if len(s.cut) > 0 {
@@ -181,17 +181,17 @@
 func TestBoundsOfABook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
-		for i := range 2 * suspectsMost {
+		for i := range 2 * maxSuspects {
 			for e := range 1 + 2*((i+1)%2)*((i+2)/2%2) {
-				s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), Kind: FailureRefused, Node: "n2"}}))
+				s.tracker.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf(fmt.Sprint("w", i)), Backend: fmt.Sprint("b", e), Kind: FailureRefused, Node: "n2"}}))
 			}
 		}
-		held, suspected := s.book.HeldCount()
-		if suspected != suspectsMost || held != suspectsMost/2 {
-			t.Errorf("%d works suspected, %d of them quarantined; want %d, %d", suspected, held, suspectsMost, suspectsMost/2)
+		held, suspected := s.tracker.HeldCount()
+		if suspected != maxSuspects || held != maxSuspects/2 {
+			t.Errorf("%d works suspected, %d of them quarantined; want %d, %d", suspected, held, maxSuspects, maxSuspects/2)
 		}
-		if waiting := len(s.book.outbox.deletes); waiting > outboxMost {
-			t.Errorf("%d deletions queued, want at most %d", waiting, outboxMost)
+		if waiting := len(s.tracker.outbox.deletes); waiting > maxQueuedRows {
+			t.Errorf("%d deletions queued, want at most %d", waiting, maxQueuedRows)
 		}
 	})
 }
@@ -202,23 +202,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
 		s.backends["b1"], s.dials["b1"] = Registered{Present: true}, "refused"
-		for range runsMost {
-			s.book.Begin(&upstream.Call{Work: workOf("other"), Instance: "b2", Address: "b2"}, func() {})
+		for range maxRuns {
+			s.tracker.Begin(&upstream.Call{Work: workOf("other"), Instance: "b2", Address: "b2"}, func() {})
 		}
 		over := func() upstream.Trace {
-			return s.book.Begin(&upstream.Call{Work: workOf("w"), Instance: "b1", Address: "b1"}, func() {})
+			return s.tracker.Begin(&upstream.Call{Work: workOf("w"), Instance: "b1", Address: "b1"}, func() {})
 		}
 		over().End(upstream.EndLost, 0)
 		synctest.Wait()
-		if _, suspected := s.book.HeldCount(); suspected > 0 {
+		if _, suspected := s.tracker.HeldCount(); suspected > 0 {
 			t.Error("the loss of a call that is not followed counts as evidence")
 		}
-		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf("w"), Backend: "b3", Kind: FailureRefused, Node: "n2"}}))
+		s.tracker.ReceiveFailures(EncodeFailures([]Failure{{Work: workOf("w"), Backend: "b3", Kind: FailureRefused, Node: "n2"}}))
 		over().End(upstream.EndComplete, 200)
-		if _, suspected := s.book.HeldCount(); suspected > 0 {
+		if _, suspected := s.tracker.HeldCount(); suspected > 0 {
 			t.Error("the success of a call that is not followed does not clear its work")
 		}
-		if calls, _ := s.book.Dropped(); calls != 2 {
+		if calls, _ := s.tracker.Dropped(); calls != 2 {
 			t.Errorf("%d calls were not followed, want 2", calls)
 		}
 	})
@@ -231,7 +231,7 @@
 		s := newScene()
 		second := New(Config{Node: "n2", Store: s.store, Dial: s.dial, Backend: func(string) Registered { return Registered{Present: true} }})
 		s.backends["b1"], s.dials["b1"] = Registered{Present: true}, "refused"
-		for _, book := range []*Tracker{s.book, second} {
+		for _, book := range []*Tracker{s.tracker, second} {
 			book.Begin(&upstream.Call{Work: workOf("w"), Instance: "b1", Address: "b1"}, func() {}).End(upstream.EndLost, 0)
 			synctest.Wait()
 			book.write(t.Context(), Writer{})
@@ -240,7 +240,7 @@
 		if len(rows) != 1 {
 			t.Errorf("%d rows, want 1: %v", len(rows), rows)
 		}
-		if held := slices.Collect(maps.Keys(s.book.outbox.puts)); len(held) > 0 {
+		if held := slices.Collect(maps.Keys(s.tracker.outbox.puts)); len(held) > 0 {
 			t.Errorf("still queued: %v", held)
 		}
 	})
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -71,8 +71,8 @@
 
 // suspect is a work with at least one failure.
 type suspect struct {
-	work fingerprint.Fingerprint
-	ends map[endID]known
+	work     fingerprint.Fingerprint
+	failures map[endID]known
 	// changed is when a failure was last added or removed. At forget the oldest failure expires,
 	// unless there is another change before.
 	changed, forget time.Time
@@ -93,7 +93,7 @@
 // count returns the number of failures that count as evidence at time now.
 func (s *suspect) count(now time.Time) int {
 	count := 0
-	for _, k := range s.ends {
+	for _, k := range s.failures {
 		if k.counts(now) {
 			count++
 		}
@@ -103,7 +103,9 @@
 
 // oldest returns the failure that expires first. It orders by id rather than by time, since
 // nodes learn of failures in different orders and must all choose the same one.
-func (s *suspect) oldest() known { return s.ends[slices.Min(slices.Collect(maps.Keys(s.ends)))] }
+func (s *suspect) oldest() known {
+	return s.failures[slices.Min(slices.Collect(maps.Keys(s.failures)))]
+}
 
 const (
 	// restartsAfter is the minimum time between two failures of one back end. A refused
@@ -113,24 +115,24 @@
 	lapsesWithin = 5 * time.Second
 )
 
-// lifeOf returns the number of the failure of a back end that is detected now: that of a
+// sequenceOf returns the number of the failure of a back end that is detected now: that of a
 // known failure if this is another sign of it, otherwise the next one.
-func (s *suspect) lifeOf(backend string, how FailureKind, now time.Time) int {
+func (s *suspect) sequenceOf(backend string, how FailureKind, now time.Time) int {
 	same := restartsAfter
 	if how != FailureRefused {
 		same = lapsesWithin
 	}
-	life := 0
-	for _, k := range s.ends {
+	sequence := 0
+	for _, k := range s.failures {
 		if k.Backend != backend {
 			continue
 		}
 		if now.Sub(k.at) < same || k.Kind == FailureUnresponsive {
 			return k.Sequence
 		}
-		life = max(life, k.Sequence+1)
+		sequence = max(sequence, k.Sequence+1)
 	}
-	return life
+	return sequence
 }
 
 // Suspect describes a suspected work to operators.
--- a/internal/gatewaynode/quarantine/handler.go
+++ b/internal/gatewaynode/quarantine/handler.go
@@ -25,14 +25,14 @@
 
 // Handler returns the operators' interface: GET HandlerPath lists the suspected works, and
 // DELETE HandlerPath followed by a fingerprint clears that work on all nodes.
-func Handler(b *Tracker) http.Handler {
+func Handler(tracker *Tracker) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+HandlerPath, func(w http.ResponseWriter, _ *http.Request) {
 		list := []told{}
-		for _, s := range b.Suspects() {
+		for _, s := range tracker.Suspects() {
 			t := told{Work: s.Work.String(), Held: s.Held, ChangedMS: s.Changed.Milliseconds()}
-			for _, end := range s.Failures {
-				t.Ends = append(t.Ends, toldEnd{Backend: end.Backend, row: rowValue(end)})
+			for _, failure := range s.Failures {
+				t.Ends = append(t.Ends, toldEnd{Backend: failure.Backend, row: rowValue(failure)})
 			}
 			list = append(list, t)
 		}
@@ -46,7 +46,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !b.Clear(work) {
+		if !tracker.Clear(work) {
 			http.Error(w, "nothing is known against this work", http.StatusNotFound)
 			return
 		}
--- a/internal/gatewaynode/quarantine/handler_test.go
+++ b/internal/gatewaynode/quarantine/handler_test.go
@@ -11,9 +11,9 @@
 	s := newScene()
 	work := workOf("w")
 	for _, backend := range []string{"b1", "b2", "b3"} {
-		s.book.ReceiveFailures(EncodeFailures([]Failure{{Work: work, Backend: backend, Service: "app", Kind: FailureRefused, Node: "n2"}}))
+		s.tracker.ReceiveFailures(EncodeFailures([]Failure{{Work: work, Backend: backend, Service: "app", Kind: FailureRefused, Node: "n2"}}))
 	}
-	handler := Handler(s.book)
+	handler := Handler(s.tracker)
 	ask := func(method, path string) (int, string) {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(method, path, nil))
@@ -28,8 +28,8 @@
 	if status, _ := ask(http.MethodDelete, HandlerPath+"nonsense"); status != http.StatusBadRequest {
 		t.Errorf("DELETE of a malformed fingerprint: status %d, want 400", status)
 	}
-	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNoContent || s.book.Held(work) > 0 {
-		t.Errorf("DELETE: status %d, %d ends held; want 204 and 0", status, s.book.Held(work))
+	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNoContent || s.tracker.Held(work) > 0 {
+		t.Errorf("DELETE: status %d, %d ends held; want 204 and 0", status, s.tracker.Held(work))
 	}
 	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNotFound {
 		t.Errorf("second DELETE: status %d, want 404", status)
--- a/internal/gatewaynode/quarantine/outbox.go
+++ b/internal/gatewaynode/quarantine/outbox.go
@@ -1,22 +1,22 @@
 package quarantine
 
 const (
-	// outboxMost bounds the queued writes and, separately, the queued deletions. It has room
+	// maxQueuedRows bounds the queued writes and, separately, the queued deletions. It has room
 	// for a hundred works that fail three back ends each.
-	outboxMost = 512
-	// firstsMost is the length of the queue from which on the only failure of a work is dropped.
+	maxQueuedRows = 512
+	// singleFailureQueueLimit is the length of the queue from which on the only failure of a work is dropped.
 	// A power loss in a zone yields thousands of these, of harmless requests.
-	firstsMost = 32
+	singleFailureQueueLimit = 32
 )
 
 // rowKey is the key of the row of a failure or trial.
 type rowKey string
 
-func keyOf(end Failure) rowKey { return rowKey(end.Work.String() + "/" + string(end.id())) }
+func keyOf(failure Failure) rowKey { return rowKey(failure.Work.String() + "/" + string(failure.id())) }
 
 // unwritten is a failure that is queued for writing.
 type unwritten struct {
-	end Failure
+	failure Failure
 	// told reports whether the failure was sent to other nodes directly.
 	told bool
 }
@@ -35,30 +35,30 @@
 }
 
 // put queues a failure for writing; again means that its work has other failures too.
-func (o *outbox) put(end Failure, again bool) {
-	key := keyOf(end)
+func (o *outbox) put(failure Failure, again bool) {
+	key := keyOf(failure)
 	delete(o.deletes, key)
-	if len(o.puts) >= outboxMost || !again && len(o.puts) >= firstsMost {
+	if len(o.puts) >= maxQueuedRows || !again && len(o.puts) >= singleFailureQueueLimit {
 		o.dropped++
 		return
 	}
-	o.puts[key] = unwritten{end: end}
-	o.kick()
+	o.puts[key] = unwritten{failure: failure}
+	o.signal()
 }
 
 // remove queues the deletion of a row.
 func (o *outbox) remove(key rowKey) {
 	delete(o.puts, key)
-	if len(o.deletes) >= outboxMost {
+	if len(o.deletes) >= maxQueuedRows {
 		o.dropped++
 		return
 	}
 	o.deletes[key] = true
-	o.kick()
+	o.signal()
 }
 
-// kick wakes Tracker.Run.
-func (o *outbox) kick() {
+// signal wakes Tracker.Run.
+func (o *outbox) signal() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -19,116 +19,118 @@
 // row is the stored value of a Failure; the rest of it is in the row's key.
 type row struct {
 	Service string      `json:"service"`
-	How     FailureKind `json:"how"`
+	Kind    FailureKind `json:"how"`
 	Node    string      `json:"node"`
 }
 
 // errRow reports a malformed row key.
 var errRow = errors.New("quarantine: row key is not of the form work/backend/number")
 
-// endOf decodes a row. For a deleted row it returns the fields in the key only.
-func endOf(r rowstore.Row) (Failure, error) {
-	end, err := endOfKey(r.Key)
+// decodeFailure decodes a row. For a deleted row it returns the fields in the key only.
+func decodeFailure(r rowstore.Row) (Failure, error) {
+	failure, err := decodeKey(r.Key)
 	if err != nil || r.Deleted {
-		return end, err
+		return failure, err
 	}
 	var value row
 	if err := json.Unmarshal(r.Value, &value); err != nil {
 		return Failure{}, err
 	}
-	return value.with(end), nil
+	return value.with(failure), nil
 }
 
-// endOfKey decodes a row key of the form work/backend/number. The backend may itself
+// decodeKey decodes a row key of the form work/backend/number. The backend may itself
 // contain slashes.
-func endOfKey(key string) (Failure, error) {
+func decodeKey(key string) (Failure, error) {
 	work, rest, _ := strings.Cut(key, "/")
 	last := strings.LastIndex(rest, "/")
 	if last <= 0 {
 		return Failure{}, errRow
 	}
-	life, err := strconv.Atoi(rest[last+1:])
+	sequence, err := strconv.Atoi(rest[last+1:])
 	if err != nil {
 		return Failure{}, errRow
 	}
 	parsed, err := fingerprint.Parse(work)
-	return Failure{Work: parsed, Backend: rest[:last], Sequence: life}, err
+	return Failure{Work: parsed, Backend: rest[:last], Sequence: sequence}, err
 }
 
-// with returns end with the fields of the row value set.
-func (r row) with(end Failure) Failure {
-	end.Service, end.Kind, end.Node = r.Service, r.How, r.Node
-	return end
+// with returns failure with the fields of the row value set.
+func (r row) with(failure Failure) Failure {
+	failure.Service, failure.Kind, failure.Node = r.Service, r.Kind, r.Node
+	return failure
 }
 
-func rowValue(end Failure) row { return row{Service: end.Service, How: end.Kind, Node: end.Node} }
+func rowValue(failure Failure) row {
+	return row{Service: failure.Service, Kind: failure.Kind, Node: failure.Node}
+}
 
 // rowOf encodes a failure as a row.
-func rowOf(end Failure) rowstore.Row {
-	value, err := json.Marshal(rowValue(end))
+func rowOf(failure Failure) rowstore.Row {
+	value, err := json.Marshal(rowValue(failure))
 	if err != nil {
 		panic("quarantine: encode failure row: " + err.Error())
 	}
-	return rowstore.Row{RowID: rowID(keyOf(end)), Value: value}
+	return rowstore.Row{RowID: rowID(keyOf(failure)), Value: value}
 }
 
 func rowID(key rowKey) rowstore.RowID { return rowstore.RowID{Table: Table, Key: string(key)} }
 
 // Apply takes changed rows of Table, or all of its rows if complete is set. It implements
 // rowstore.ViewConfig.Apply.
-func (b *Tracker) Apply(rows []rowstore.Row, complete bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Apply(rows []rowstore.Row, complete bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
 	present := make(map[rowKey]bool, len(rows))
 	for _, r := range rows {
 		if r.Key == keyRow {
-			b.takeKey(r.Value)
+			t.takeKey(r.Value)
 			continue
 		}
 		if work, is := trialOf(r.Key); is {
-			b.sawTrial(work, r.Deleted)
+			t.sawTrial(work, r.Deleted)
 			continue
 		}
-		end, err := endOf(r)
+		failure, err := decodeFailure(r)
 		if err != nil {
-			b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: r.Key, eventlog.Cause: err.Error()})
+			t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: r.Key, eventlog.Cause: err.Error()})
 			continue
 		}
 		if r.Deleted {
-			b.cleared(end, now)
+			t.cleared(failure, now)
 			continue
 		}
-		present[keyOf(end)] = true
-		b.learn(known{Failure: end, at: now, stored: true})
+		present[keyOf(failure)] = true
+		t.learn(known{Failure: failure, at: now, stored: true})
 	}
 	if !complete {
 		return
 	}
-	if b.key.Load() == nil {
-		b.outbox.kick()
+	if t.key.Load() == nil {
+		t.outbox.signal()
 	}
-	for _, s := range b.suspects {
-		for _, k := range s.ends {
+	for _, s := range t.suspects {
+		for _, k := range s.failures {
 			if k.stored && !present[keyOf(k.Failure)] {
-				b.cleared(k.Failure, now)
+				t.cleared(k.Failure, now)
 			}
 		}
 	}
 }
 
 // cleared withdraws a failure whose row was deleted. A failure that this node has not yet written
-// stays. The caller holds b.mu.
-func (b *Tracker) cleared(end Failure, now time.Time) {
-	s := b.suspects[end.Work]
+// stays. The caller holds t.mu.
+func (t *Tracker) cleared(failure Failure, now time.Time) {
+	s := t.suspects[failure.Work]
 	if s == nil {
 		return
 	}
-	k, found := s.ends[end.id()]
+	k, found := s.failures[failure.id()]
 	if !found || !k.stored {
 		return
 	}
-	b.withdraw(s, end.id(), now)
+	t.withdraw(s, failure.id(), now)
 }
 
 // message is the encoding of a Failure between nodes.
@@ -140,8 +142,8 @@
 // EncodeFailures encodes failures for ReceiveFailures.
 func EncodeFailures(ends []Failure) json.RawMessage {
 	list := make([]message, 0, len(ends))
-	for _, end := range ends {
-		list = append(list, message{Key: string(keyOf(end)), row: rowValue(end)})
+	for _, failure := range ends {
+		list = append(list, message{Key: string(keyOf(failure)), row: rowValue(failure)})
 	}
 	encoded, err := json.Marshal(list)
 	if err != nil {
@@ -151,21 +153,21 @@
 }
 
 // ReceiveFailures takes encoded failures from another node that could not write the failures to the store.
-func (b *Tracker) ReceiveFailures(encoded json.RawMessage) {
+func (t *Tracker) ReceiveFailures(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
-		b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Cause: err.Error()})
+		t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Cause: err.Error()})
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
 	for _, m := range list {
-		end, err := endOfKey(m.Key)
+		failure, err := decodeKey(m.Key)
 		if err != nil {
-			b.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: m.Key, eventlog.Cause: err.Error()})
+			t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: m.Key, eventlog.Cause: err.Error()})
 			continue
 		}
-		b.learn(known{Failure: m.with(end), at: now})
+		t.learn(known{Failure: m.with(failure), at: now})
 	}
 }
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// runsMost bounds the calls that a node follows.
-	runsMost = 16384
+	// maxRuns bounds the calls that a node follows.
+	maxRuns = 16384
 	// endedKeep is how long a call that this node cancelled may still run at its back end.
 	endedKeep = 500 * time.Millisecond
 	// silentRunKeep is how long an ended call stays suspected if the back end was silent: the
@@ -23,7 +23,7 @@
 
 // run is a call to a back end that has no complete response.
 type run struct {
-	book *Tracker
+	tracker *Tracker
 	// backend is nil if the run is not followed since there are too many.
 	backend *backend
 	// request and work are the id and fingerprint of the call. The call itself is not kept,
@@ -78,24 +78,24 @@
 }
 
 // Begin implements upstream.Observer.
-func (b *Tracker) Begin(call *upstream.Call, cut func()) upstream.Trace {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := &run{book: b, request: call.ID, work: call.Work, at: call.Instance, cut: cut, sent: time.Now()}
-	if b.runs >= runsMost {
-		b.unfollowed++
+func (t *Tracker) Begin(call *upstream.Call, cut func()) upstream.Trace {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := &run{tracker: t, request: call.ID, work: call.Work, at: call.Instance, cut: cut, sent: time.Now()}
+	if t.runs >= maxRuns {
+		t.unfollowed++
 		return r
 	}
-	held := b.backends[call.Instance]
+	held := t.backends[call.Instance]
 	if held == nil {
 		held = &backend{
-			id: call.Instance, address: call.Address, service: b.config.Backend(call.Instance).Service, runs: make(map[*run]struct{}),
+			id: call.Instance, address: call.Address, service: t.config.Backend(call.Instance).Service, runs: make(map[*run]struct{}),
 		}
-		b.backends[call.Instance] = held
+		t.backends[call.Instance] = held
 	}
 	r.backend = held
 	held.runs[r] = struct{}{}
-	b.runs++
+	t.runs++
 	return r
 }
 
@@ -108,15 +108,15 @@
 	return found
 }
 
-// drop stops following a run. The caller holds b.mu.
-func (b *Tracker) drop(r *run) {
+// drop stops following a run. The caller holds t.mu.
+func (t *Tracker) drop(r *run) {
 	if !r.followed() {
 		return
 	}
 	delete(r.backend.runs, r)
-	b.runs--
+	t.runs--
 	if len(r.backend.runs) == 0 && !r.backend.probing {
-		delete(b.backends, r.backend.id)
+		delete(t.backends, r.backend.id)
 	}
 }
 
@@ -132,36 +132,36 @@
 
 // End implements upstream.Trace.
 func (r *run) End(end upstream.End, status int) {
-	b := r.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t := r.tracker
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
 	switch end {
 	case upstream.EndComplete:
-		b.drop(r)
+		t.drop(r)
 		if status >= successFrom && status < successBelow {
-			b.succeeded(r, now)
+			t.succeeded(r, now)
 		}
 	case upstream.EndNotRun, upstream.EndMalformed:
-		b.drop(r)
+		t.drop(r)
 	case upstream.EndLost:
 		r.ended, r.lost = now, true
 	case upstream.EndCancelled:
 		r.ended = now
 	}
 	if r.followed() && (r.lost || r.silent(now) && now.Sub(r.backend.probed) >= silentProbeRest) {
-		b.probe(r.backend)
+		t.probe(r.backend)
 	}
 }
 
 // sweep stops following ended calls that are no longer suspected, including lost ones after
-// silentRunKeep. The caller holds b.mu.
-func (b *Tracker) sweep(now time.Time) {
-	for _, held := range b.backends {
+// silentRunKeep. The caller holds t.mu.
+func (t *Tracker) sweep(now time.Time) {
+	for _, held := range t.backends {
 		for r := range held.runs {
 			old := !r.ended.IsZero() && now.Sub(r.ended) >= silentRunKeep
 			if old || !r.suspected(now) {
-				b.drop(r)
+				t.drop(r)
 			}
 		}
 	}
--- a/internal/gatewaynode/quarantine/trial.go
+++ b/internal/gatewaynode/quarantine/trial.go
@@ -36,16 +36,15 @@
 )
 
 // trialID returns the id of the row whose creation acquires the trial of a work.
-
 func trialID(work fingerprint.Fingerprint) rowstore.RowID {
 	return rowstore.RowID{Table: Table, Key: trialPrefix + work.String()}
 }
 
 // endTrial deletes the row of a work's trial, if there is one, so that another trial is
-// possible. The caller holds b.mu.
-func (b *Tracker) endTrial(s *suspect) {
+// possible. The caller holds t.mu.
+func (t *Tracker) endTrial(s *suspect) {
 	if s.trial == trialTaken {
-		b.outbox.remove(rowKey(trialID(s.work).Key))
+		t.outbox.remove(rowKey(trialID(s.work).Key))
 	}
 }
 
@@ -61,10 +60,10 @@
 
 // Retry returns the time after which a client may retry a quarantined work: until its trial
 // or, if the trial was taken, until one of its failures is forgotten.
-func (b *Tracker) Retry(work fingerprint.Fingerprint) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[work]
+func (t *Tracker) Retry(work fingerprint.Fingerprint) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[work]
 	if s == nil || !s.held {
 		return 0
 	}
@@ -78,19 +77,19 @@
 // node may then send the work once, to one back end. There is one trial for all nodes, which
 // belongs to the node that creates its row. If the trial succeeds, the work is cleared;
 // otherwise it stays quarantined until one of its failures is forgotten.
-func (b *Tracker) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
-	if !b.ask(work) {
+func (t *Tracker) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
+	if !t.ask(work) {
 		return false
 	}
 	bounded, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
 	id := trialID(work)
-	_, err := b.config.Store.Commit(bounded, rowstore.Transaction{
-		Conditions: []rowstore.Condition{{RowID: id}}, Puts: []rowstore.Row{{RowID: id, Value: []byte(b.config.Node)}},
+	_, err := t.config.Store.Commit(bounded, rowstore.Transaction{
+		Conditions: []rowstore.Condition{{RowID: id}}, Puts: []rowstore.Row{{RowID: id, Value: []byte(t.config.Node)}},
 	})
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[work]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[work]
 	if s == nil || !s.held {
 		return false
 	}
@@ -103,46 +102,46 @@
 		return false
 	}
 	s.trial = trialTaken
-	b.config.Log.Warn(eventlog.QuarantineTrial, eventlog.Fields{
-		eventlog.Work: work.String(), "ends": len(s.ends), "held_ms": time.Since(s.heldSince).Milliseconds(),
+	t.config.Log.Warn(eventlog.QuarantineTrial, eventlog.Fields{
+		eventlog.Work: work.String(), "ends": len(s.failures), "held_ms": time.Since(s.heldSince).Milliseconds(),
 	})
 	return true
 }
 
 // MayTry reports whether the trial of a quarantined work may be requested now.
-func (b *Tracker) MayTry(work fingerprint.Fingerprint) bool {
-	if b.Held(work) == 0 {
+func (t *Tracker) MayTry(work fingerprint.Fingerprint) bool {
+	if t.Held(work) == 0 {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.mayTry(b.suspects[work])
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.mayTry(t.suspects[work])
 }
 
-// mayTry is MayTry for a suspect, which may be nil. The caller holds b.mu.
-func (b *Tracker) mayTry(s *suspect) bool {
+// mayTry is MayTry for a suspect, which may be nil. The caller holds t.mu.
+func (t *Tracker) mayTry(s *suspect) bool {
 	return s != nil && s.held && s.trial == trialOpen && time.Since(s.heldSince) >= trialAfter && !time.Now().Before(s.askAgain)
 }
 
 // ask marks the trial of a work as being acquired by this node and reports whether that was
 // possible.
-func (b *Tracker) ask(work fingerprint.Fingerprint) bool {
-	if b.Held(work) == 0 {
+func (t *Tracker) ask(work fingerprint.Fingerprint) bool {
+	if t.Held(work) == 0 {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[work]
-	if !b.mayTry(s) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[work]
+	if !t.mayTry(s) {
 		return false
 	}
 	s.trial = trialAsked
 	return true
 }
 
-// sawTrial handles a change of a trial row. The caller holds b.mu.
-func (b *Tracker) sawTrial(work fingerprint.Fingerprint, deleted bool) {
-	s := b.suspects[work]
+// sawTrial handles a change of a trial row. The caller holds t.mu.
+func (t *Tracker) sawTrial(work fingerprint.Fingerprint, deleted bool) {
+	s := t.suspects[work]
 	if s == nil {
 		return
 	}
--- a/internal/gatewaynode/quarantine/writer.go
+++ b/internal/gatewaynode/quarantine/writer.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// rowsMost bounds the rows of one transaction.
-	rowsMost = 50
+	// maxTransactionRows bounds the rows of one transaction.
+	maxTransactionRows = 50
 	// writeBurst is the number of transactions that may be written without waiting for
 	// Writer.Rest.
 	writeBurst = 4
@@ -39,7 +39,7 @@
 }
 
 // Run writes evidence to the store and removes expired evidence until ctx is done.
-func (b *Tracker) Run(ctx context.Context, w Writer) {
+func (t *Tracker) Run(ctx context.Context, w Writer) {
 	limiter := rate.NewLimiter(rate.Every(w.Rest()), writeBurst)
 	ticker := time.NewTicker(ageEvery)
 	defer ticker.Stop()
@@ -48,62 +48,62 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			b.age(time.Now())
+			t.age(time.Now())
 			limiter.SetLimit(rate.Every(w.Rest()))
 			continue
-		case <-b.outbox.wake:
+		case <-t.outbox.wake:
 		}
 		if limiter.Wait(ctx) != nil {
 			return
 		}
-		if b.key.Load() == nil {
-			b.makeKey(ctx)
+		if t.key.Load() == nil {
+			t.makeKey(ctx)
 		}
-		b.write(ctx, w)
+		t.write(ctx, w)
 	}
 }
 
 // write commits one transaction of queued changes and wakes Run again if any are left.
-func (b *Tracker) write(ctx context.Context, w Writer) {
-	puts, deletes := b.take()
+func (t *Tracker) write(ctx context.Context, w Writer) {
+	puts, deletes := t.take()
 	if len(puts)+len(deletes) == 0 {
 		return
 	}
 	var transaction rowstore.Transaction
-	for _, end := range puts {
-		transaction.Puts = append(transaction.Puts, rowOf(end))
+	for _, failure := range puts {
+		transaction.Puts = append(transaction.Puts, rowOf(failure))
 	}
 	for _, key := range deletes {
 		transaction.Deletes = append(transaction.Deletes, rowID(key))
 	}
 	bounded, cancel := context.WithTimeout(ctx, writeLimit)
-	_, err := b.config.Store.Commit(bounded, transaction)
+	_, err := t.config.Store.Commit(bounded, transaction)
 	cancel()
 	if err != nil {
-		b.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{eventlog.Count: len(puts), "deletes": len(deletes), eventlog.Cause: err.Error()})
-		b.failures++
-		b.tell(ctx, w, puts)
+		t.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{eventlog.Count: len(puts), "deletes": len(deletes), eventlog.Cause: err.Error()})
+		t.failedWrites++
+		t.tell(ctx, w, puts)
 		pause.For(ctx, writeRetry)
 	}
 	if err == nil {
-		b.failures = 0
+		t.failedWrites = 0
 	}
-	b.written(puts, deletes, err == nil)
+	t.written(puts, deletes, err == nil)
 }
 
 // take returns the changes of the next transaction, those of works with the most failures first.
-func (b *Tracker) take() (puts []Failure, deletes []rowKey) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, waiting := range b.outbox.puts {
-		puts = append(puts, waiting.end)
+func (t *Tracker) take() (puts []Failure, deletes []rowKey) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, waiting := range t.outbox.puts {
+		puts = append(puts, waiting.failure)
 	}
 	slices.SortFunc(puts, func(x, y Failure) int {
-		return cmp.Or(cmp.Compare(b.ends(y.Work), b.ends(x.Work)), cmp.Compare(keyOf(x), keyOf(y)))
+		return cmp.Or(cmp.Compare(t.failureCount(y.Work), t.failureCount(x.Work)), cmp.Compare(keyOf(x), keyOf(y)))
 	})
-	puts = puts[:min(len(puts), rowsMost)]
-	for key := range b.outbox.deletes {
-		if len(puts)+len(deletes) < rowsMost {
+	puts = puts[:min(len(puts), maxTransactionRows)]
+	for key := range t.outbox.deletes {
+		if len(puts)+len(deletes) < maxTransactionRows {
 			deletes = append(deletes, key)
 		}
 	}
@@ -112,13 +112,13 @@
 
 // tell sends failures that could not be written to the other nodes in the background, once
 // tellAfter writes in a row have failed. At most one Writer.Tell is in progress.
-func (b *Tracker) tell(ctx context.Context, w Writer, puts []Failure) {
-	if w.Tell == nil || b.failures < tellAfter || !b.telling.CompareAndSwap(false, true) {
+func (t *Tracker) tell(ctx context.Context, w Writer, puts []Failure) {
+	if w.Tell == nil || t.failedWrites < tellAfter || !t.telling.CompareAndSwap(false, true) {
 		return
 	}
-	untold := b.untold(puts)
+	untold := t.untold(puts)
 	go func() {
-		defer b.telling.Store(false)
+		defer t.telling.Store(false)
 		if len(untold) > 0 {
 			w.Tell(ctx, untold)
 		}
@@ -126,52 +126,52 @@
 }
 
 // untold returns those of puts that were not sent to other nodes yet and marks them as sent.
-func (b *Tracker) untold(puts []Failure) []Failure {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) untold(puts []Failure) []Failure {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var list []Failure
-	for _, end := range puts {
-		waiting, found := b.outbox.puts[keyOf(end)]
+	for _, failure := range puts {
+		waiting, found := t.outbox.puts[keyOf(failure)]
 		if found && !waiting.told {
 			waiting.told = true
-			b.outbox.puts[keyOf(end)] = waiting
-			list = append(list, end)
+			t.outbox.puts[keyOf(failure)] = waiting
+			list = append(list, failure)
 		}
 	}
 	return list
 }
 
-// ends returns the number of failures of a work. The caller holds b.mu.
-func (b *Tracker) ends(work fingerprint.Fingerprint) int {
-	if s := b.suspects[work]; s != nil {
-		return len(s.ends)
+// failureCount returns the number of failures of a work. The caller holds t.mu.
+func (t *Tracker) failureCount(work fingerprint.Fingerprint) int {
+	if s := t.suspects[work]; s != nil {
+		return len(s.failures)
 	}
 	return 0
 }
 
 // written removes the changes of a successful transaction from the queue. Those of a failed
 // one stay, as writing them twice has no effect.
-func (b *Tracker) written(puts []Failure, deletes []rowKey, done bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, end := range puts {
+func (t *Tracker) written(puts []Failure, deletes []rowKey, done bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, failure := range puts {
 		if !done {
 			continue
 		}
-		delete(b.outbox.puts, keyOf(end))
-		if s := b.suspects[end.Work]; s != nil {
-			if k, found := s.ends[end.id()]; found {
+		delete(t.outbox.puts, keyOf(failure))
+		if s := t.suspects[failure.Work]; s != nil {
+			if k, found := s.failures[failure.id()]; found {
 				k.stored = true
-				s.ends[end.id()] = k
+				s.failures[failure.id()] = k
 			}
 		}
 	}
 	for _, key := range deletes {
 		if done {
-			delete(b.outbox.deletes, key)
+			delete(t.outbox.deletes, key)
 		}
 	}
-	if len(b.outbox.puts)+len(b.outbox.deletes) > 0 {
-		b.outbox.kick()
+	if len(t.outbox.puts)+len(t.outbox.deletes) > 0 {
+		t.outbox.signal()
 	}
 }
