--- a/internal/gatewaynode/batch/held.go
+++ b/internal/gatewaynode/batch/held.go
@@ -40,7 +40,7 @@
 	work := job.items[index].work
 	r.manager.config.Log.Warn(eventlog.JobHeld, eventlog.Fields{
 		eventlog.Job: job.id, eventlog.Item: job.spec.Items[index].ID, eventlog.Work: work.String(),
-		eventlog.Reasons: map[string]int{eligibility.LabelQuarantined: p.world.HeldEnds(work)}, "left": job.left,
+		eventlog.Reasons: map[string]int{eligibility.LabelQuarantined: p.world.QuarantineFailures(work)}, "left": job.left,
 	})
 }
 
--- a/internal/gatewaynode/batch/move.go
+++ b/internal/gatewaynode/batch/move.go
@@ -68,7 +68,7 @@
 // been slow for some time, since backends on shared machines slow down briefly and recover
 // before a moved item has started elsewhere. A backend whose last request failed is not a
 // target until another request succeeds there.
-func moveTarget(pool []fleet.Backend, current string, want need, typical time.Duration, world *eligibility.World) int {
+func moveTarget(pool []fleet.Backend, current string, want need, typical time.Duration, world *eligibility.Snapshot) int {
 	now := world.Now
 	var from *fleet.Backend
 	for i := range pool {
--- a/internal/gatewaynode/batch/place_test.go
+++ b/internal/gatewaynode/batch/place_test.go
@@ -11,7 +11,7 @@
 
 var placeNow = time.Unix(1000, 0)
 
-var placeWorld = &eligibility.World{Now: placeNow}
+var placeWorld = &eligibility.Snapshot{Now: placeNow}
 
 // weightsOf returns a request for a model with weights of at least the given version.
 func weightsOf(model string, version int64) eligibility.Request {
@@ -108,7 +108,7 @@
 	}
 	moved := func() bool {
 		pool := backends.Service("s", now)
-		world := &eligibility.World{Now: now}
+		world := &eligibility.Snapshot{Now: now}
 		want := need{Request: weightsOf("m", 3), ran: longRun + time.Second}
 		return moveTarget(pool, "shared", want, typicalPace(pool, now), world) >= 0
 	}
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -67,7 +67,7 @@
 		c := candidate{job: job, index: index, route: route, priority: priority, weight: float64(job.spec.Items[index].LengthHint)}
 		switch item.phase {
 		case phaseWaiting:
-			if !item.trial && p.world.HeldEnds(item.work) > 0 {
+			if !item.trial && p.world.QuarantineFailures(item.work) > 0 {
 				r.noteQuarantined(job, index, p)
 				continue
 			}
@@ -78,7 +78,7 @@
 		case phaseRunning:
 			// A quarantined item that runs is a trial run, which is granted only once.
 			// Moving it would start it a second time.
-			if !p.of(route, index).uneven || !movable(item, p.now) || p.world.HeldEnds(item.work) > 0 {
+			if !p.of(route, index).uneven || !movable(item, p.now) || p.world.QuarantineFailures(item.work) > 0 {
 				continue
 			}
 			c.moving = true
@@ -124,7 +124,7 @@
 	config *routetable.Table
 	// used is the token usage of this node's runs by backend ID.
 	used  map[string]usage
-	world *eligibility.World
+	world *eligibility.Snapshot
 	// given counts, by backend ID, the requests that were assigned in this or an earlier
 	// round and have not been sent yet. The limit of a cold backend does not count them.
 	given map[string]int
@@ -151,7 +151,7 @@
 	p := &pools{
 		fleet: r.manager.config.Fleet, reach: r.manager.config.Reach, now: now, services: make(map[string]*pool),
 		config: r.manager.config.Routes(), used: r.usages(), demands: make(map[*ownedJob]*demand),
-		world: r.manager.config.Gate.World(now), given: r.unsent.snapshot(),
+		world: r.manager.config.Gate.Snapshot(now), given: r.unsent.snapshot(),
 	}
 	p.world.Turns = p.turnsLeft(p.world.Turns)
 	return p
@@ -305,7 +305,7 @@
 
 // fastSlots returns the total number of slots, free or not, of the backends that may run an
 // item and are not slow.
-func fastSlots(backends []fleet.Backend, want need, typical time.Duration, world *eligibility.World) int {
+func fastSlots(backends []fleet.Backend, want need, typical time.Duration, world *eligibility.Snapshot) int {
 	slots := 0
 	for i := range backends {
 		b := &backends[i]
--- a/internal/gatewaynode/batch/scoreplace_test.go
+++ b/internal/gatewaynode/batch/scoreplace_test.go
@@ -47,7 +47,7 @@
 		{"slow", []fleet.Backend{scoringBackend("near", 0, 0, 100*ms), far}, scorerWant{}, "far"},
 	}
 	for _, test := range cases {
-		index := pickScorer(test.pool, test.want, &eligibility.World{Now: now})
+		index := pickScorer(test.pool, test.want, &eligibility.Snapshot{Now: now})
 		got := ""
 		if index >= 0 {
 			got = test.pool[index].ID
--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -46,14 +46,14 @@
 	Warm bool
 }
 
-// World is a snapshot of the node's state on which eligibility depends.
-type World struct {
+// Snapshot is a snapshot of the node's state on which eligibility depends.
+type Snapshot struct {
 	Now time.Time
 	// Zones maps zones to regions.
 	Zones place.Map
-	// Held returns how many back ends terminated while they ran a quarantined request, 0
-	// if the request is not quarantined. If Held is nil, none is.
-	Held func(work fingerprint.Fingerprint) int
+	// Failures returns how many back ends terminated while they ran a quarantined request, 0
+	// if the request is not quarantined. If Failures is nil, none is.
+	Failures func(work fingerprint.Fingerprint) int
 	// Evacuations is the set of evacuations in force.
 	Evacuations evacuation.Set
 	// Age is the time since the store last confirmed Evacuations.
@@ -70,9 +70,9 @@
 
 // Decide returns the reason why a back end may not get a request, nil if it may. It is a
 // pure function.
-func (w *World) Decide(b *fleet.Backend, r Request) Reason {
-	if ends := w.HeldEnds(r.Work); ends > 0 {
-		return Quarantined{Ends: ends}
+func (w *Snapshot) Decide(b *fleet.Backend, r Request) Reason {
+	if ends := w.QuarantineFailures(r.Work); ends > 0 {
+		return Quarantined{Failures: ends}
 	}
 	if reason := w.checkBackend(b, r); reason != nil {
 		return reason
@@ -83,21 +83,21 @@
 	return w.checkCold(b, r)
 }
 
-// HeldEnds returns how many back ends terminated while they ran a quarantined request, 0 if
+// QuarantineFailures returns how many back ends terminated while they ran a quarantined request, 0 if
 // the request is not quarantined.
-func (w *World) HeldEnds(work fingerprint.Fingerprint) int {
-	if work.IsZero() || w.Held == nil {
+func (w *Snapshot) QuarantineFailures(work fingerprint.Fingerprint) int {
+	if work.IsZero() || w.Failures == nil {
 		return 0
 	}
-	return w.Held(work)
+	return w.Failures(work)
 }
 
-// May reports whether a back end may get a request.
-func (w *World) May(b *fleet.Backend, r Request) bool { return w.Decide(b, r) == nil }
+// Eligible reports whether a back end may get a request.
+func (w *Snapshot) Eligible(b *fleet.Backend, r Request) bool { return w.Decide(b, r) == nil }
 
 // checkCold checks the rate limit of a cold back end. Warm requests are refused even below the
 // limit.
-func (w *World) checkCold(b *fleet.Backend, r Request) Reason {
+func (w *Snapshot) checkCold(b *fleet.Backend, r Request) Reason {
 	left := b.ColdUntil.Sub(w.Now)
 	if left <= 0 || w.Turns == nil {
 		return nil
@@ -110,7 +110,7 @@
 }
 
 // checkBackend checks everything that does not depend on the models of a back end.
-func (w *World) checkBackend(b *fleet.Backend, r Request) Reason {
+func (w *Snapshot) checkBackend(b *fleet.Backend, r Request) Reason {
 	if b.Draining {
 		return Draining{}
 	}
@@ -158,7 +158,7 @@
 }
 
 // Survey summarizes the eligibility of back ends for a request. It is a pure function.
-func (w *World) Survey(backends []fleet.Backend, r Request) Survey {
+func (w *Snapshot) Survey(backends []fleet.Backend, r Request) Survey {
 	survey := Survey{Reasons: make(map[string]int)}
 	for i := range backends {
 		reason := w.Decide(&backends[i], r)
@@ -175,7 +175,7 @@
 }
 
 // roomAfter returns the time until a cold back end is warm or may get another request.
-func (w *World) roomAfter(b *fleet.Backend, cold Cold) time.Duration {
+func (w *Snapshot) roomAfter(b *fleet.Backend, cold Cold) time.Duration {
 	if w.NextTurn == nil {
 		return cold.Left
 	}
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -28,31 +28,31 @@
 	cases := []struct {
 		name    string
 		change  func(*fleet.Backend)
-		world   World
+		world   Snapshot
 		request Request
 		want    Reason
 	}{
-		{"eligible", nil, World{}, Request{Model: "m", Weights: true, MinVersion: 3}, nil},
-		{"draining", func(b *fleet.Backend) { b.Draining = true }, World{}, Request{}, Draining{}},
-		{"evacuated", nil, World{Evacuations: evacuated}, Request{}, Evacuated{Zone: "n1", For: time.Second}},
-		{"another zone is evacuated", func(b *fleet.Backend) { b.Zone = "s1" }, World{Evacuations: evacuated}, Request{}, nil},
-		{"allowed region", nil, World{}, Request{Regions: place.NewRegions("north")}, nil},
-		{"another region", nil, World{}, Request{Regions: place.NewRegions("south")}, OtherRegion{Region: "north", Allowed: "south"}},
-		{"unknown region", func(b *fleet.Backend) { b.Zone = "x" }, World{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
-		{"no allowed region", nil, World{}, Request{Regions: place.NewRegions("north").Intersect(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
-		{"evacuations out of date, request of a job", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Patient: true}, BeliefsOld{Age: 6 * time.Second}},
-		{"evacuations out of date, live request", nil, World{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
-		{"evacuations out of date, no limit", nil, World{Age: 6 * time.Second}, Request{Patient: true}, nil},
-		{"another model", nil, World{}, Request{Model: "n"}, NoModel{}},
-		{"no models known, versions not checked", func(b *fleet.Backend) { b.Models = nil }, World{}, Request{Model: "n"}, nil},
-		{"no models known, versions checked", func(b *fleet.Backend) { b.Models = nil }, World{}, Request{Model: "n", Weights: true}, NoModel{}},
-		{"version too old", nil, World{}, Request{Model: "m", Weights: true, MinVersion: 4}, OtherWeights{Version: 3}},
-		{"not the only allowed version", nil, World{}, Request{Model: "m", Weights: true, Version: 2}, OtherWeights{Version: 3}},
-		{"loading", func(b *fleet.Backend) { b.LoadingModel = "m" }, World{}, Request{Model: "m", Weights: true}, Loading{}},
-		{"loading another model", func(b *fleet.Backend) { b.LoadingModel = "n" }, World{}, Request{Model: "m", Weights: true}, nil},
-		{"cold, below the limit", cold, World{Turns: func(*fleet.Backend) int { return 1 }}, Request{}, nil},
-		{"cold, limit reached", cold, World{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, Cold{Left: 2 * time.Second}},
-		{"no longer cold", func(b *fleet.Backend) { b.ColdUntil = now }, World{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, nil},
+		{"eligible", nil, Snapshot{}, Request{Model: "m", Weights: true, MinVersion: 3}, nil},
+		{"draining", func(b *fleet.Backend) { b.Draining = true }, Snapshot{}, Request{}, Draining{}},
+		{"evacuated", nil, Snapshot{Evacuations: evacuated}, Request{}, Evacuated{Zone: "n1", For: time.Second}},
+		{"another zone is evacuated", func(b *fleet.Backend) { b.Zone = "s1" }, Snapshot{Evacuations: evacuated}, Request{}, nil},
+		{"allowed region", nil, Snapshot{}, Request{Regions: place.NewRegions("north")}, nil},
+		{"another region", nil, Snapshot{}, Request{Regions: place.NewRegions("south")}, OtherRegion{Region: "north", Allowed: "south"}},
+		{"unknown region", func(b *fleet.Backend) { b.Zone = "x" }, Snapshot{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
+		{"no allowed region", nil, Snapshot{}, Request{Regions: place.NewRegions("north").Intersect(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
+		{"evacuations out of date, request of a job", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Patient: true}, BeliefsOld{Age: 6 * time.Second}},
+		{"evacuations out of date, live request", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
+		{"evacuations out of date, no limit", nil, Snapshot{Age: 6 * time.Second}, Request{Patient: true}, nil},
+		{"another model", nil, Snapshot{}, Request{Model: "n"}, NoModel{}},
+		{"no models known, versions not checked", func(b *fleet.Backend) { b.Models = nil }, Snapshot{}, Request{Model: "n"}, nil},
+		{"no models known, versions checked", func(b *fleet.Backend) { b.Models = nil }, Snapshot{}, Request{Model: "n", Weights: true}, NoModel{}},
+		{"version too old", nil, Snapshot{}, Request{Model: "m", Weights: true, MinVersion: 4}, OtherWeights{Version: 3}},
+		{"not the only allowed version", nil, Snapshot{}, Request{Model: "m", Weights: true, Version: 2}, OtherWeights{Version: 3}},
+		{"loading", func(b *fleet.Backend) { b.LoadingModel = "m" }, Snapshot{}, Request{Model: "m", Weights: true}, Loading{}},
+		{"loading another model", func(b *fleet.Backend) { b.LoadingModel = "n" }, Snapshot{}, Request{Model: "m", Weights: true}, nil},
+		{"cold, below the limit", cold, Snapshot{Turns: func(*fleet.Backend) int { return 1 }}, Request{}, nil},
+		{"cold, limit reached", cold, Snapshot{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, Cold{Left: 2 * time.Second}},
+		{"no longer cold", func(b *fleet.Backend) { b.ColdUntil = now }, Snapshot{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, nil},
 	}
 	for _, test := range cases {
 		b := backend(test.change)
@@ -70,7 +70,7 @@
 		backend(func(b *fleet.Backend) { b.ColdUntil = now.Add(2 * time.Second) }),
 		backend(func(b *fleet.Backend) { b.ColdUntil = now.Add(time.Second) }),
 	}
-	world := World{Now: now, Turns: func(*fleet.Backend) int { return 0 }}
+	world := Snapshot{Now: now, Turns: func(*fleet.Backend) int { return 0 }}
 	survey := world.Survey(backends, Request{})
 	if survey.Eligible != 1 || survey.Reasons["draining"] != 1 || survey.Reasons["cold"] != 2 || survey.Warm != time.Second {
 		t.Errorf("Survey returned %+v", survey)
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -15,8 +15,8 @@
 	Fleet       *fleet.Fleet
 	Evacuations *evacuation.Book
 	Zones       place.Map
-	// Held is used as World.Held.
-	Held func(work fingerprint.Fingerprint) int
+	// QuarantineFailures is used as World.QuarantineFailures.
+	QuarantineFailures func(work fingerprint.Fingerprint) int
 	// Age returns the time since the store last confirmed the evacuations.
 	Age func(now time.Time) time.Duration
 	// AgeMost is used as World.AgeMost.
@@ -42,10 +42,10 @@
 // NewGate returns a Gate for a configuration.
 func NewGate(config Config) *Gate { return &Gate{config: config, turns: coldstart.NewLimiter()} }
 
-// World returns a snapshot of the node's state.
-func (g *Gate) World(now time.Time) *World {
-	return &World{
-		Now: now, Held: g.config.Held, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
+// Snapshot returns a snapshot of the node's state.
+func (g *Gate) Snapshot(now time.Time) *Snapshot {
+	return &Snapshot{
+		Now: now, Failures: g.config.QuarantineFailures, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
 		Age: g.config.Age(now), AgeMost: g.config.AgeMost,
 		Turns:    func(b *fleet.Backend) int { return g.turns.Remaining(b.ID, g.config.Share(b, now), now) },
 		NextTurn: func(b *fleet.Backend) time.Duration { return g.nextTurn(b, now) },
@@ -82,7 +82,7 @@
 	if !found {
 		return Gone{}
 	}
-	world := g.World(now)
+	world := g.Snapshot(now)
 	if reason := world.Decide(&b, r); reason != nil {
 		return reason
 	}
--- a/internal/gatewaynode/eligibility/reason.go
+++ b/internal/gatewaynode/eligibility/reason.go
@@ -64,8 +64,8 @@
 // Quarantined means that back ends terminated while they ran equal requests. No back end may
 // get the request.
 type Quarantined struct {
-	// Ends is the number of these back ends.
-	Ends int
+	// Failures is the number of these back ends.
+	Failures int
 }
 
 // Label implements Reason.
@@ -76,7 +76,7 @@
 
 // String implements fmt.Stringer.
 func (r Quarantined) String() string {
-	return fmt.Sprintf("%d back ends ended under requests like it", r.Ends)
+	return fmt.Sprintf("%d back ends ended under requests like it", r.Failures)
 }
 
 // Label implements Reason.
--- a/internal/gatewaynode/forward/admit.go
+++ b/internal/gatewaynode/forward/admit.go
@@ -134,7 +134,7 @@
 
 // admit makes the admission decision once, before the first attempt. It admits a request that
 // no backend is eligible for: the choice of a backend reports that.
-func (x *try) admit(backends []fleet.Backend, world *eligibility.World) bool {
+func (x *try) admit(backends []fleet.Backend, world *eligibility.Snapshot) bool {
 	if x.admitted {
 		return true
 	}
@@ -154,12 +154,12 @@
 
 // eligible returns the backends that may get the request. Suspended ones are left out unless
 // all are suspended.
-func (x *try) eligible(backends []fleet.Backend, world *eligibility.World) []fleet.Backend {
+func (x *try) eligible(backends []fleet.Backend, world *eligibility.Snapshot) []fleet.Backend {
 	var eligible, suspended []fleet.Backend
 	wants := x.eligibilityRequest()
 	for i := range backends {
 		switch {
-		case !world.May(&backends[i], wants):
+		case !world.Eligible(&backends[i], wants):
 		case backends[i].Suspended(world.Now):
 			suspended = append(suspended, backends[i])
 		default:
@@ -181,7 +181,7 @@
 	}
 	serviceTime := x.forwarder.latencies.serviceTime(x.route.Name)
 	backends := x.forwarder.config.Fleet.Service(x.service, now)
-	return max(EstimateWait(x.eligible(backends, x.forwarder.config.Gate.World(now)), serviceTime, now), refusalPause)
+	return max(EstimateWait(x.eligible(backends, x.forwarder.config.Gate.Snapshot(now)), serviceTime, now), refusalPause)
 }
 
 // capacityRetryDelay returns how long the caller of a refused request should wait before it
--- a/internal/gatewaynode/forward/choose.go
+++ b/internal/gatewaynode/forward/choose.go
@@ -39,11 +39,11 @@
 // Choose returns the eligible backend with the fewest attempts of this request and, of those,
 // the shortest expected response time. A suspended backend is chosen only if there is no
 // other.
-func Choose(backends []fleet.Backend, want Want, world *eligibility.World) (fleet.Backend, bool) {
+func Choose(backends []fleet.Backend, want Want, world *eligibility.Snapshot) (fleet.Backend, bool) {
 	var best fleet.Backend
 	found := false
 	for i := range backends {
-		if !world.May(&backends[i], want.Request) {
+		if !world.Eligible(&backends[i], want.Request) {
 			continue
 		}
 		if !found || better(backends[i], best, want, world) {
@@ -54,7 +54,7 @@
 }
 
 // better reports whether a is the better choice of two eligible backends.
-func better(a, b fleet.Backend, want Want, world *eligibility.World) bool {
+func better(a, b fleet.Backend, want Want, world *eligibility.Snapshot) bool {
 	now := world.Now
 	if want.Tried[a.ID] != want.Tried[b.ID] {
 		return want.Tried[a.ID] < want.Tried[b.ID]
--- a/internal/gatewaynode/forward/choose_test.go
+++ b/internal/gatewaynode/forward/choose_test.go
@@ -50,7 +50,7 @@
 		{"holds the model", []fleet.Backend{candidate("a", func(b *fleet.Backend) { b.Models = map[string]int64{"n": 1} }), candidate("b", func(b *fleet.Backend) { b.Models = map[string]int64{"m": 1} })}, Want{Request: eligibility.Request{Model: "m"}}, "b"},
 	}
 	for _, test := range cases {
-		got, found := Choose(test.pool, test.want, &eligibility.World{Now: chooseNow})
+		got, found := Choose(test.pool, test.want, &eligibility.Snapshot{Now: chooseNow})
 		if found != (test.pick != "") || got.ID != test.pick {
 			t.Errorf("%s: chose %q, want %q", test.name, got.ID, test.pick)
 		}
--- a/internal/gatewaynode/forward/eligible.go
+++ b/internal/gatewaynode/forward/eligible.go
@@ -42,5 +42,5 @@
 
 // survey counts the service's backends by eligibility for the request.
 func (x *try) survey(now time.Time) eligibility.Survey {
-	return x.forwarder.config.Gate.World(now).Survey(x.forwarder.config.Fleet.Service(x.service, now), x.eligibilityRequest())
+	return x.forwarder.config.Gate.Snapshot(now).Survey(x.forwarder.config.Fleet.Service(x.service, now), x.eligibilityRequest())
 }
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -326,7 +326,7 @@
 
 // choose returns the backend for the next attempt.
 func (x *try) choose(now time.Time) (fleet.Backend, bool) {
-	backends, world := x.forwarder.config.Fleet.Service(x.service, now), x.forwarder.config.Gate.World(now)
+	backends, world := x.forwarder.config.Fleet.Service(x.service, now), x.forwarder.config.Gate.Snapshot(now)
 	if !x.admit(backends, world) {
 		return fleet.Backend{}, false
 	}
--- a/internal/gatewaynode/forward/subset_test.go
+++ b/internal/gatewaynode/forward/subset_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	backends := s.fleet.Service("s", now)
 	s.reach.Fill(backends, now)
-	chosen, found := Choose(backends, Want{}, &eligibility.World{Now: now})
+	chosen, found := Choose(backends, Want{}, &eligibility.Snapshot{Now: now})
 	if !found {
 		t.Fatal("no backend chosen")
 	}
--- a/internal/gatewaynode/reload/controller_test.go
+++ b/internal/gatewaynode/reload/controller_test.go
@@ -129,7 +129,7 @@
 		leases := rowlease.NewLeases(log, way, pacing)
 		controller := NewController(Config{
 			Store: way, Presence: registry, Fleet: known, Commander: backends, Log: log,
-			World:  func(now time.Time) *eligibility.World { return &eligibility.World{Now: now} },
+			World:  func(now time.Time) *eligibility.Snapshot { return &eligibility.Snapshot{Now: now} },
 			Timing: rowlease.Timing{Settle: testSettle}, Leases: leases, Pacing: pacing, Mode: ModeRetain,
 			Demand: func() map[string]float64 { return map[string]float64{"m": 1} },
 			Widths: func() map[string]int { return nil }, Confined: func() map[string]place.Regions { return nil }, Interested: func() bool { return true },
--- a/internal/gatewaynode/reload/plan.go
+++ b/internal/gatewaynode/reload/plan.go
@@ -21,7 +21,7 @@
 type planInput struct {
 	backends []fleet.Backend
 	// world is what is decided by which of them may get an order.
-	world *eligibility.World
+	world *eligibility.Snapshot
 	// named maps a model to its newest version.
 	named map[string]int64
 	// shares says which model each back end is for.
@@ -49,7 +49,7 @@
 	places, members, loading := census(usable, in.shares, in.busy)
 	var steps []step
 	for _, backend := range usable {
-		if in.busy[backend.ID] || in.resting[backend.ID] || !in.world.May(&backend, Wants) {
+		if in.busy[backend.ID] || in.resting[backend.ID] || !in.world.Eligible(&backend, Wants) {
 			continue
 		}
 		model := in.shares[backend.ID]
--- a/internal/gatewaynode/reload/plan_test.go
+++ b/internal/gatewaynode/reload/plan_test.go
@@ -30,7 +30,7 @@
 		named, before := make(map[string]int64), make(map[string]string)
 		busy, resting := make(map[string]bool), make(map[string]bool)
 		demand, widths := make(map[string]float64), make(map[string]int)
-		world := &eligibility.World{
+		world := &eligibility.Snapshot{
 			Now: time.Unix(1000, 0), Evacuations: evacuation.Set{}, Turns: func(*fleet.Backend) int { return 1 },
 		}
 		within := bounds{regions: make(map[string]place.Regions), zones: place.NewMap(map[string]string{"ax": "a", "bx": "b"})}
@@ -126,7 +126,7 @@
 	var h homes
 	var shares map[string]string
 	assign := func(evacuated ...string) {
-		world := &eligibility.World{Evacuations: evacuation.Set{}}
+		world := &eligibility.Snapshot{Evacuations: evacuation.Set{}}
 		for _, zone := range evacuated {
 			world.Evacuations[zone] = evacuation.Evacuation{Zone: zone}
 		}
--- a/internal/gatewaynode/reload/reload.go
+++ b/internal/gatewaynode/reload/reload.go
@@ -23,7 +23,7 @@
 	Fleet     *fleet.Fleet
 	Commander Commander
 	// World returns what the node believes of back ends now.
-	World  func(now time.Time) *eligibility.World
+	World  func(now time.Time) *eligibility.Snapshot
 	Log    *eventlog.Log
 	Timing rowlease.Timing
 	// Leases is where the lease on giving orders is.
--- a/internal/gatewaynode/reload/usable.go
+++ b/internal/gatewaynode/reload/usable.go
@@ -15,7 +15,7 @@
 // usable returns the back ends that are counted on: versions are loaded on those alone,
 // and each model's halves are made of them. Ones that are evacuated are not, for as long
 // as that lasts; ones that are leaving are until they are gone, since they are replaced.
-func usable(backends []fleet.Backend, world *eligibility.World) []fleet.Backend {
+func usable(backends []fleet.Backend, world *eligibility.Snapshot) []fleet.Backend {
 	found := make([]fleet.Backend, 0, len(backends))
 	for i := range backends {
 		if !world.Evacuations.Has(backends[i].Zone) {
--- a/internal/gatewaynode/storenode/storenode.go
+++ b/internal/gatewaynode/storenode/storenode.go
@@ -194,7 +194,7 @@
 	node.leases = rowlease.NewLeases(config.Log, config.Store, pacing)
 	timing := rowlease.Timing{Settle: config.SettleTime}
 	node.controller = reload.NewController(reload.Config{
-		Store: config.Store, Presence: node.presence, Fleet: node.fleet, World: node.gate.World,
+		Store: config.Store, Presence: node.presence, Fleet: node.fleet, World: node.gate.Snapshot,
 		Commander: config.NewCommander(node.client, func(backend string) error { return node.gate.Admit(backend, reload.Wants) }),
 		Log:       config.Log, Timing: timing, Leases: node.leases, Pacing: pacing, Mode: reload.ModeRetain,
 		Demand: node.jobs.Demand, Widths: node.jobs.Widths, Confined: node.jobs.Confined,
