--- a/internal/gatewaynode/batch/held.go
+++ b/internal/gatewaynode/batch/held.go
@@ -23,7 +23,7 @@
 	c.job.heldSaid = p.now
 	r.manager.config.Log.Warn(eventlog.JobHeld, eventlog.Fields{
 		eventlog.Job: c.job.id, eventlog.Item: c.job.spec.Items[c.index].ID, eventlog.Reasons: survey.Reasons,
-		"room_in_ms": survey.Warm.Milliseconds(), "left": c.job.left,
+		"room_in_ms": survey.ColdWait.Milliseconds(), "left": c.job.left,
 	})
 }
 
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -217,7 +217,7 @@
 // holds r.mu.
 func (r *runner) requestOf(job *ownedJob, index int, route *routetable.Route) eligibility.Request {
 	return eligibility.Request{
-		Regions: r.regions(route, job.tenant), Patient: true,
+		Regions: r.regions(route, job.tenant), Durable: true,
 		Model: job.spec.Model, Weights: true, MinVersion: job.spec.MinVersion,
 		Version: job.items[index].text.only(route.SingleVersion),
 	}
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -140,7 +140,7 @@
 	if !route.Public {
 		regions = r.regions(route, job.tenant)
 	}
-	return eligibility.Request{Regions: regions, Patient: true}
+	return eligibility.Request{Regions: regions, Durable: true}
 }
 
 // settleScore handles the outcome of a scoring call: it finishes the item or leaves it waiting
--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -38,12 +38,12 @@
 	// Weights enables the checks of MinVersion and Version. The back end must then be known
 	// to hold the model and must not be loading weights of it.
 	Weights bool
-	// Patient is set for requests of jobs. They survive the loss of this node, and so wait
+	// Durable is set for requests of jobs. They survive the loss of this node, and so wait
 	// if the node's list of evacuations is out of date.
-	Patient bool
-	// Warm is set for requests that wait until no back end is cold and leave the capacity
+	Durable bool
+	// AvoidCold is set for requests that wait until no back end is cold and leave the capacity
 	// of cold ones to others.
-	Warm bool
+	AvoidCold bool
 }
 
 // Snapshot is a snapshot of the node's state on which eligibility depends.
@@ -103,7 +103,7 @@
 		return nil
 	}
 	turns := w.Turns(b)
-	if turns == coldstart.Unbounded || turns > 0 && !r.Warm {
+	if turns == coldstart.Unbounded || turns > 0 && !r.AvoidCold {
 		return nil
 	}
 	return Cold{Left: left}
@@ -120,8 +120,8 @@
 	if region := w.Zones.Region(b.Zone); !r.Regions.Has(region) {
 		return OtherRegion{Region: region, Allowed: r.Regions.String()}
 	}
-	if r.Patient && w.AgeMost > 0 && w.Age > w.AgeMost {
-		return BeliefsOld{Age: w.Age}
+	if r.Durable && w.AgeMost > 0 && w.Age > w.AgeMost {
+		return EvacuationsOutdated{Age: w.Age}
 	}
 	return nil
 }
@@ -152,9 +152,9 @@
 	Eligible int
 	// Reasons counts the other back ends by the label of the reason.
 	Reasons map[string]int
-	// Warm is the shortest time until one of the cold back ends may get a request; 0 if
+	// ColdWait is the shortest time until one of the cold back ends may get a request; 0 if
 	// none is excluded as cold.
-	Warm time.Duration
+	ColdWait time.Duration
 }
 
 // Survey summarizes the eligibility of back ends for a request. It is a pure function.
@@ -187,7 +187,7 @@
 
 // noteRoom lowers Warm to after.
 func (s *Survey) noteRoom(after time.Duration) {
-	if s.Warm == 0 || after < s.Warm {
-		s.Warm = after
+	if s.ColdWait == 0 || after < s.ColdWait {
+		s.ColdWait = after
 	}
 }
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -40,9 +40,9 @@
 		{"another region", nil, Snapshot{}, Request{Regions: place.NewRegions("south")}, OtherRegion{Region: "north", Allowed: "south"}},
 		{"unknown region", func(b *fleet.Backend) { b.Zone = "x" }, Snapshot{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
 		{"no allowed region", nil, Snapshot{}, Request{Regions: place.NewRegions("north").Intersect(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
-		{"evacuations out of date, request of a job", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Patient: true}, BeliefsOld{Age: 6 * time.Second}},
+		{"evacuations out of date, request of a job", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Durable: true}, EvacuationsOutdated{Age: 6 * time.Second}},
 		{"evacuations out of date, live request", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
-		{"evacuations out of date, no limit", nil, Snapshot{Age: 6 * time.Second}, Request{Patient: true}, nil},
+		{"evacuations out of date, no limit", nil, Snapshot{Age: 6 * time.Second}, Request{Durable: true}, nil},
 		{"another model", nil, Snapshot{}, Request{Model: "n"}, NoModel{}},
 		{"no models known, versions not checked", func(b *fleet.Backend) { b.Models = nil }, Snapshot{}, Request{Model: "n"}, nil},
 		{"no models known, versions checked", func(b *fleet.Backend) { b.Models = nil }, Snapshot{}, Request{Model: "n", Weights: true}, NoModel{}},
@@ -72,7 +72,7 @@
 	}
 	world := Snapshot{Now: now, Turns: func(*fleet.Backend) int { return 0 }}
 	survey := world.Survey(backends, Request{})
-	if survey.Eligible != 1 || survey.Reasons["draining"] != 1 || survey.Reasons["cold"] != 2 || survey.Warm != time.Second {
+	if survey.Eligible != 1 || survey.Reasons["draining"] != 1 || survey.Reasons["cold"] != 2 || survey.ColdWait != time.Second {
 		t.Errorf("Survey returned %+v", survey)
 	}
 }
--- a/internal/gatewaynode/eligibility/reason.go
+++ b/internal/gatewaynode/eligibility/reason.go
@@ -35,9 +35,9 @@
 	Allowed string
 }
 
-// BeliefsOld means that the node's list of evacuations is out of date, so that the zone may
+// EvacuationsOutdated means that the node's list of evacuations is out of date, so that the zone may
 // be evacuated.
-type BeliefsOld struct {
+type EvacuationsOutdated struct {
 	// Age is the time since the store last confirmed the list.
 	Age time.Duration
 }
@@ -92,7 +92,7 @@
 func (OtherRegion) Label() string { return "other_region" }
 
 // Label implements Reason.
-func (BeliefsOld) Label() string { return "beliefs_old" }
+func (EvacuationsOutdated) Label() string { return "beliefs_old" }
 
 // Label implements Reason.
 func (NoModel) Label() string { return "no_model" }
@@ -123,7 +123,7 @@
 }
 
 // String implements fmt.Stringer.
-func (r BeliefsOld) String() string {
+func (r EvacuationsOutdated) String() string {
 	return fmt.Sprintf("evacuations were last confirmed %d ms ago", r.Age.Milliseconds())
 }
 
--- a/internal/gatewaynode/forward/answer.go
+++ b/internal/gatewaynode/forward/answer.go
@@ -113,8 +113,8 @@
 	}
 	// If this node's share of the cold backends allows no request before the deadline, that of
 	// another node may: the caller should then retry earlier.
-	if cause == causeNoBackend && survey.Warm > 0 && survey.Warm < x.request.Deadline.Sub(now) {
-		return max(survey.Warm, minRetryAfter)
+	if cause == causeNoBackend && survey.ColdWait > 0 && survey.ColdWait < x.request.Deadline.Sub(now) {
+		return max(survey.ColdWait, minRetryAfter)
 	}
 	if cause == causeNoBackend {
 		return max(time.Duration(noBackendRetryShare*float64(x.request.Deadline.Sub(now))), minRetryAfter)
--- a/internal/gatewaynode/reload/usable.go
+++ b/internal/gatewaynode/reload/usable.go
@@ -10,7 +10,7 @@
 // Wants is what decides which back ends may get an order or be asked for a report: those
 // that are cold can wait for both. Who does not know the evacuations does not know the
 // newest versions either: both are in one table.
-var Wants = eligibility.Request{Warm: true, Patient: true}
+var Wants = eligibility.Request{AvoidCold: true, Durable: true}
 
 // usable returns the back ends that are counted on: versions are loaded on those alone,
 // and each model's halves are made of them. Ones that are evacuated are not, for as long
