--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -56,10 +56,10 @@
 	Failures func(work fingerprint.Fingerprint) int
 	// Evacuations is the set of evacuations in force.
 	Evacuations evacuation.Set
-	// Age is the time since the store last confirmed Evacuations.
-	Age time.Duration
-	// AgeMost is the maximum Age at which Patient requests are sent, 0 for no limit.
-	AgeMost time.Duration
+	// EvacuationsAge is the time since the store last confirmed Evacuations.
+	EvacuationsAge time.Duration
+	// MaxEvacuationsAge is the maximum Age at which Patient requests are sent, 0 for no limit.
+	MaxEvacuationsAge time.Duration
 	// Turns returns how many requests this node may send to a cold back end now, or
 	// coldstart.Unbounded. If Turns is nil, the number is unbounded for all back ends.
 	Turns func(backend *fleet.Backend) int
@@ -115,13 +115,13 @@
 		return Draining{}
 	}
 	if e, evacuated := w.Evacuations[b.Zone]; evacuated {
-		return Evacuated{Zone: b.Zone, For: w.Now.Sub(e.Since)}
+		return Evacuated{Zone: b.Zone, Elapsed: w.Now.Sub(e.Since)}
 	}
 	if region := w.Zones.Region(b.Zone); !r.Regions.Has(region) {
 		return OtherRegion{Region: region, Allowed: r.Regions.String()}
 	}
-	if r.Durable && w.AgeMost > 0 && w.Age > w.AgeMost {
-		return EvacuationsOutdated{Age: w.Age}
+	if r.Durable && w.MaxEvacuationsAge > 0 && w.EvacuationsAge > w.MaxEvacuationsAge {
+		return EvacuationsOutdated{Age: w.EvacuationsAge}
 	}
 	return nil
 }
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -34,15 +34,15 @@
 	}{
 		{"eligible", nil, Snapshot{}, Request{Model: "m", Weights: true, MinVersion: 3}, nil},
 		{"draining", func(b *fleet.Backend) { b.Draining = true }, Snapshot{}, Request{}, Draining{}},
-		{"evacuated", nil, Snapshot{Evacuations: evacuated}, Request{}, Evacuated{Zone: "n1", For: time.Second}},
+		{"evacuated", nil, Snapshot{Evacuations: evacuated}, Request{}, Evacuated{Zone: "n1", Elapsed: time.Second}},
 		{"another zone is evacuated", func(b *fleet.Backend) { b.Zone = "s1" }, Snapshot{Evacuations: evacuated}, Request{}, nil},
 		{"allowed region", nil, Snapshot{}, Request{Regions: place.NewRegions("north")}, nil},
 		{"another region", nil, Snapshot{}, Request{Regions: place.NewRegions("south")}, OtherRegion{Region: "north", Allowed: "south"}},
 		{"unknown region", func(b *fleet.Backend) { b.Zone = "x" }, Snapshot{}, Request{Regions: place.NewRegions("north")}, OtherRegion{Allowed: "north"}},
 		{"no allowed region", nil, Snapshot{}, Request{Regions: place.NewRegions("north").Intersect(place.NewRegions("south"))}, OtherRegion{Region: "north"}},
-		{"evacuations out of date, request of a job", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{Durable: true}, EvacuationsOutdated{Age: 6 * time.Second}},
-		{"evacuations out of date, live request", nil, Snapshot{Age: 6 * time.Second, AgeMost: 5 * time.Second}, Request{}, nil},
-		{"evacuations out of date, no limit", nil, Snapshot{Age: 6 * time.Second}, Request{Durable: true}, nil},
+		{"evacuations out of date, request of a job", nil, Snapshot{EvacuationsAge: 6 * time.Second, MaxEvacuationsAge: 5 * time.Second}, Request{Durable: true}, EvacuationsOutdated{Age: 6 * time.Second}},
+		{"evacuations out of date, live request", nil, Snapshot{EvacuationsAge: 6 * time.Second, MaxEvacuationsAge: 5 * time.Second}, Request{}, nil},
+		{"evacuations out of date, no limit", nil, Snapshot{EvacuationsAge: 6 * time.Second}, Request{Durable: true}, nil},
 		{"another model", nil, Snapshot{}, Request{Model: "n"}, NoModel{}},
 		{"no models known, versions not checked", func(b *fleet.Backend) { b.Models = nil }, Snapshot{}, Request{Model: "n"}, nil},
 		{"no models known, versions checked", func(b *fleet.Backend) { b.Models = nil }, Snapshot{}, Request{Model: "n", Weights: true}, NoModel{}},
@@ -80,8 +80,8 @@
 func newTestGate(share int, age time.Duration) (*Gate, *fleet.Fleet, *evacuation.Book) {
 	backends, book := fleet.New(nil), evacuation.NewBook()
 	gate := NewGate(Config{
-		Fleet: backends, Evacuations: book, AgeMost: 5 * time.Second,
-		Age:   func(time.Time) time.Duration { return age },
+		Fleet: backends, Evacuations: book, MaxEvacuationsAge: 5 * time.Second,
+		EvacuationsAge:   func(time.Time) time.Duration { return age },
 		Share: func(*fleet.Backend, time.Time) int { return share },
 	})
 	return gate, backends, book
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -17,10 +17,10 @@
 	Zones       place.Map
 	// QuarantineFailures is used as World.QuarantineFailures.
 	QuarantineFailures func(work fingerprint.Fingerprint) int
-	// Age returns the time since the store last confirmed the evacuations.
-	Age func(now time.Time) time.Duration
-	// AgeMost is used as World.AgeMost.
-	AgeMost time.Duration
+	// EvacuationsAge returns the time since the store last confirmed the evacuations.
+	EvacuationsAge func(now time.Time) time.Duration
+	// MaxEvacuationsAge is used as World.MaxEvacuationsAge.
+	MaxEvacuationsAge time.Duration
 	// Share returns how many requests per second this node may send to a cold back end, or
 	// coldstart.Unbounded.
 	Share func(backend *fleet.Backend, now time.Time) int
@@ -46,7 +46,7 @@
 func (g *Gate) Snapshot(now time.Time) *Snapshot {
 	return &Snapshot{
 		Now: now, Failures: g.config.QuarantineFailures, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
-		Age: g.config.Age(now), AgeMost: g.config.AgeMost,
+		EvacuationsAge: g.config.EvacuationsAge(now), MaxEvacuationsAge: g.config.MaxEvacuationsAge,
 		Turns:    func(b *fleet.Backend) int { return g.turns.Remaining(b.ID, g.config.Share(b, now), now) },
 		NextTurn: func(b *fleet.Backend) time.Duration { return g.nextTurn(b, now) },
 	}
--- a/internal/gatewaynode/eligibility/reason.go
+++ b/internal/gatewaynode/eligibility/reason.go
@@ -23,8 +23,8 @@
 // Evacuated means that the zone of the back end is evacuated.
 type Evacuated struct {
 	Zone string
-	// For is the time since this node learned of the evacuation.
-	For time.Duration
+	// Elapsed is the time since this node learned of the evacuation.
+	Elapsed time.Duration
 }
 
 // OtherRegion means that the request may not be served in the region of the back end.
@@ -114,7 +114,7 @@
 
 // String implements fmt.Stringer.
 func (r Evacuated) String() string {
-	return fmt.Sprintf("zone %s is evacuated, known for %d ms", r.Zone, r.For.Milliseconds())
+	return fmt.Sprintf("zone %s is evacuated, known for %d ms", r.Zone, r.Elapsed.Milliseconds())
 }
 
 // String implements fmt.Stringer.
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -151,7 +151,7 @@
 		client := upstream.NewClient(upstream.Config{Codec: queueCodec{}, Dialer: network.Dialer(fmt.Sprint("n", i))})
 		clients = append(clients, client)
 		gate := eligibility.NewGate(eligibility.Config{
-			Fleet: backends, Evacuations: evacuation.NewBook(), Age: func(time.Time) time.Duration { return 0 },
+			Fleet: backends, Evacuations: evacuation.NewBook(), EvacuationsAge: func(time.Time) time.Duration { return 0 },
 			Share: func(*fleet.Backend, time.Time) int { return math.MaxInt },
 		})
 		log := eventlog.New(logger, io.Discard)
--- a/internal/gatewaynode/storenode/eligible.go
+++ b/internal/gatewaynode/storenode/eligible.go
@@ -59,8 +59,8 @@
 	n.shares = newColdShares(n)
 	n.gate = eligibility.NewGate(eligibility.Config{
 		Fleet: n.fleet, QuarantineFailures: n.quarantine.Held, Evacuations: n.evacuations, Zones: n.config.Eligibility.Zones,
-		Age:     func(now time.Time) time.Duration { return n.operator.Status().ProvenAge(now) },
-		AgeMost: n.config.Eligibility.ageMost(), Share: n.shares.of, Observe: n.config.Eligibility.ObserveWithheld, ObserveTurn: n.config.Eligibility.ObserveColdTurn,
+		EvacuationsAge:     func(now time.Time) time.Duration { return n.operator.Status().ProvenAge(now) },
+		MaxEvacuationsAge: n.config.Eligibility.ageMost(), Share: n.shares.of, Observe: n.config.Eligibility.ObserveWithheld, ObserveTurn: n.config.Eligibility.ObserveColdTurn,
 	})
 }
 
