--- a/internal/gatewaynode/batch/checkpoint.go
+++ b/internal/gatewaynode/batch/checkpoint.go
@@ -68,7 +68,7 @@
 
 // unsavedSegments returns unsaved segments of items whose first run started at least
 // age ago, as many as fit into one transaction. Items with the most unsaved events come
-// first. The lock is held.
+// first. The caller holds r.mu.
 func (r *runner) unsavedSegments(job *ownedJob, age time.Duration) []segment {
 	limits := r.manager.config.Limits
 	var segments []segment
--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -22,11 +22,11 @@
 	// holdSlack is added to the latest expected end of the last item.
 	holdSlack clock.Millis = 200
 	// maxEndHold is the maximum time for which results are held back until all items have
-	// ended. It covers results that were already held for maxHold when that end came
-	// within maxTailHold, plus some delay.
+	// ended: up to maxHold before that end comes within maxTailHold, then maxTailHold and
+	// holdSlack, and another maxHold since the end may come later than expected.
 	maxEndHold = maxTailHold + 2*maxHold + holdSlack
-	// readInterval is the time within which a caller that got an answer reads again: half
-	// a second plus the duration of the read and of a commit.
+	// readInterval is the time within which a caller that got an answer is expected to read
+	// again: half a second plus the duration of the read and of a commit.
 	readInterval clock.Millis = 650
 	// dueGrace is how late a result may be read and still count as in time for its
 	// caller.
@@ -81,12 +81,12 @@
 // A caller that waits for a number of complete groups reads about twice a second. A read
 // without new results stays pending and returns the next commit at once, whereas a read
 // that returns too few results delays the caller's next one by half a second. Besides,
-// each commit wakes every node. Results are therefore held until the groups that the
-// caller waits for are complete, for at most maxHold, or maxTailHold if few are missing,
-// and not beyond their due time. Once all items are expected to end within maxTailHold,
-// holdUntilEnd applies.
+// each commit wakes every node that reads the jobs table. Results are therefore held until
+// the groups that the caller waits for are complete, for at most maxHold, or maxTailHold
+// if few are missing, and not beyond their due time. Once all items are expected to end
+// within maxTailHold, holdUntilEnd applies.
 //
-// The runner's lock is held.
+// The caller holds the runner's lock.
 func (j *ownedJob) holdLeft(route *routetable.Route, known *lengths, now time.Time) clock.Millis {
 	if len(j.finished) == 0 || j.left == 0 || j.ctx.Err() != nil || j.groups.reached() {
 		return 0
@@ -144,7 +144,7 @@
 
 // endWithin returns the time within which all items will have ended, and whether it is
 // known. It is known only if all items with incomplete output are running and none is
-// longer than the longest one seen of the model. The runner's lock is held.
+// longer than the longest ended item of its model. The caller holds the runner's lock.
 func (j *ownedJob) endWithin(known *lengths) (clock.Millis, bool) {
 	most, running := time.Duration(0), false
 	for i := range j.items {
@@ -254,7 +254,7 @@
 }
 
 // failures returns the numbers of failed runs and of failed scoring calls of unfinished
-// items, by item index. The runner's lock is held.
+// items, by item index. The caller holds the runner's lock.
 func failures(job *ownedJob) (runs, scores map[int]int) {
 	runs, scores = make(map[int]int), make(map[int]int)
 	for i := range job.items {
--- a/internal/gatewaynode/batch/doc.go
+++ b/internal/gatewaynode/batch/doc.go
@@ -43,7 +43,7 @@
 //     are stored in one row. Output that waits for its score is checkpointed and
 //     not generated again.
 //
-//   - A job is confined to the regions that the configuration in force allows for
+//   - A job is confined to the regions that the current configuration allows for
 //     its route and its tenant: only nodes in these regions own it or store its
 //     specification and its output. If there is no such node, submissions are
 //     refused and accepted jobs wait.
@@ -166,8 +166,8 @@
 	// SubmittedMillis is the time of submission in Unix milliseconds, by the wall
 	// clock of the accepting node.
 	SubmittedMillis int64 `json:"submitted_ms"`
-	// Failures counts failed runs by item index, ScoreFailures failed calls to the
-	// scoring service.
+	// Failures counts the runs that ended in a server error by item index, ScoreFailures
+	// the failed calls to the scoring service.
 	Failures      map[int]int `json:"failures,omitempty"`
 	ScoreFailures map[int]int `json:"score_failures,omitempty"`
 }
@@ -210,11 +210,12 @@
 	OK Status = iota
 	// NotFound means that the job or item does not exist.
 	NotFound
-	// Unavailable means that the node cannot answer at present. Nothing was changed.
+	// Unavailable means that the node cannot answer at present. Nothing visible was changed,
+	// though parts of a specification that no head refers to may have been written.
 	Unavailable
 	// Uncertain means that the operation may have taken effect or may do so later.
 	Uncertain
-	// IDInUse means that the job's id is in use by a job of another tenant.
+	// IDInUse means that the job's ID is in use by a job of another tenant.
 	IDInUse
 	// NoRegion means that the job's route and its tenant have no region in common.
 	// Nothing was changed.
@@ -240,7 +241,7 @@
 	return rowID(TableResults, job, fmt.Sprintf("%08d", position))
 }
 
-// resultPartID returns the row id of a part of a result. Parts are numbered from 0;
+// resultPartID returns the row ID of a part of a result. Parts are numbered from 0;
 // part 0 is the row of the result itself.
 func resultPartID(job string, position, part int) rowstore.RowID {
 	id := resultID(job, position)
@@ -258,7 +259,7 @@
 	return rowID(TablePartials, job, fmt.Sprintf("%08d/%s/%08d", item, sequence, from))
 }
 
-// splitKey splits a row's key into the job's id and the rest.
+// splitKey splits a row's key into the job's ID and the rest.
 func splitKey(key string) (job, rest string) {
 	job, rest, _ = strings.Cut(key, "/")
 	return job, rest
--- a/internal/gatewaynode/batch/finish.go
+++ b/internal/gatewaynode/batch/finish.go
@@ -8,7 +8,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/eventlog"
 )
 
-// finish records the final state of an item and wakes the commit loop. The lock is held.
+// finish records the final state of an item and wakes the commit loop. The caller holds r.mu.
 func (r *runner) finish(job *ownedJob, index int, state State) {
 	item := &job.items[index]
 	if item.phase == phaseFinished {
@@ -32,7 +32,7 @@
 }
 
 // keep retains the output of an item for later jobs if the job is allowed in this node's
-// region. The lock is held.
+// region. The caller holds r.mu.
 func (r *runner) keep(job *ownedJob, item string, made text) {
 	if r.manager.allowedHere(job.origin) {
 		r.kept.put(item, made, job.origin.kind())
@@ -99,7 +99,8 @@
 }
 
 // expireMargin is added to the maximum queue time of a route before items expire, since
-// the wall clocks of two nodes differ.
+// the wall clocks of two nodes differ. No item expires either until its job has been open on
+// this node for as long.
 const expireMargin = 4 * time.Second
 
 // expire finishes all items as dead that exceeded the maximum queue time of their route.
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -35,7 +35,7 @@
 	Gate  *eligibility.Gate
 	Log   *eventlog.Log
 	Reach Reach
-	// Routes returns the configuration in force, nil while there is none.
+	// Routes returns the current configuration, nil while there is none.
 	Routes func() *routetable.Table
 	// WorkOf returns the fingerprint of a request.
 	WorkOf func(fingerprint.Input) fingerprint.Fingerprint
@@ -103,7 +103,7 @@
 	view   *rowstore.View
 	specs  *specCache
 	runner *runner
-	// confinements are the region restrictions of the configuration in force.
+	// confinements are the region restrictions of the current configuration.
 	confinements confinements
 	// lastForget is the configuration for which forget ran last.
 	lastForget atomic.Pointer[routetable.Table]
@@ -210,7 +210,8 @@
 }
 
 // apply applies changed rows of the jobs table. If complete is set, rows holds the
-// whole table, and jobs that are not in it are removed.
+// whole table, and jobs that are not in it are removed if this node first learned of them
+// longer than the retention ago.
 func (m *Manager) apply(rows []rowstore.Row, complete bool) {
 	m.mu.Lock()
 	present := make(map[string]bool, len(rows))
@@ -221,7 +222,8 @@
 	}
 	if complete {
 		for id, state := range m.jobs {
-			// A job that this node has just written may be newer than this read.
+			// A job that this node learned of recently may be newer than this read. Rows
+			// are kept for longer than the retention, which far exceeds the time of a read.
 			if !present[id] && time.Since(state.firstSeen) > m.config.Retention {
 				delete(m.jobs, id)
 			}
@@ -231,7 +233,7 @@
 	m.reconcileNow()
 }
 
-// applyRow applies a row of the jobs table. The lock is held.
+// applyRow applies a row of the jobs table. The caller holds m.mu.
 func (m *Manager) applyRow(job, kind string, row rowstore.Row) {
 	state := m.state(job)
 	if row.Deleted {
@@ -251,7 +253,7 @@
 	}
 }
 
-// state returns the state of a job, creating it if necessary. The lock is held.
+// state returns the state of a job, creating it if necessary. The caller holds m.mu.
 func (m *Manager) state(job string) *jobState {
 	state := m.jobs[job]
 	if state == nil {
--- a/internal/gatewaynode/batch/memory.go
+++ b/internal/gatewaynode/batch/memory.go
@@ -22,8 +22,8 @@
 	// tokenStep is the multiple to which the tokens of an item are rounded up, so that items
 	// of similar size have the same need.
 	tokenStep = 1024
-	// overrun is the ratio of the expected length of an item to its current length once it
-	// approaches its estimate. Items that exceed their estimate usually exceed it by far.
+	// overrun is the minimum ratio of the expected length of an item to its current length, since
+	// an item may exceed its estimate.
 	overrun = 1.5
 )
 
--- a/internal/gatewaynode/batch/open.go
+++ b/internal/gatewaynode/batch/open.go
@@ -53,7 +53,7 @@
 	return committed, err
 }
 
-// resultItemIDs returns the set of item ids in results.
+// resultItemIDs returns the set of item IDs in results.
 func resultItemIDs(results []Result) map[string]bool {
 	listed := make(map[string]bool, len(results))
 	for _, result := range results {
--- a/internal/gatewaynode/batch/order.go
+++ b/internal/gatewaynode/batch/order.go
@@ -18,12 +18,13 @@
 const (
 	// shortShare is the share of a job's items that may be marked short.
 	shortShare = 2.0 / 3
-	// longShare is the share of a job's items that are marked long.
+	// longShare is the share of a job's items that may be marked long.
 	longShare = 0.15
 )
 
-// markShort marks the items with the largest hints as long, and the others as short if their
-// hints are less than half of the largest. The caller holds the runner's lock.
+// markShort marks the first longShare of the job's items, which have the largest hints, as long
+// if their hints are positive. It marks the last shortShare as short if their hints are less than
+// half of the largest. The caller holds the runner's lock.
 func (j *ownedJob) markShort() {
 	if len(j.order) == 0 {
 		return
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -117,7 +117,7 @@
 
 // assessOwner fills in the liveness of a job's owner, which is another node, and this
 // node's rank among those that may take the job over. If no node may, the keeper that
-// ranks first across all regions logs that the job waits. The lock is held.
+// ranks first across all regions logs that the job waits. The caller holds m.mu.
 func (m *Manager) assessOwner(state *jobState, current *ownershipState, regions place.Regions, members func() *presence.Members, now time.Time) {
 	current.owner = m.config.Presence.Liveness(state.head.Owner, state.head.Incarnation, now)
 	if current.owner != presence.Gone {
@@ -258,8 +258,8 @@
 	maxDeletedRows = 90
 )
 
-// deleteExpired deletes the rows of one expired job. Only the node that ranks first for
-// the job does so.
+// deleteExpired deletes the rows of one expired job. Only the node that ranks first by
+// job ID among the keepers in the job's regions does so.
 func (m *Manager) deleteExpired(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/gatewaynode/batch/ownerkey.go
+++ b/internal/gatewaynode/batch/ownerkey.go
@@ -5,13 +5,13 @@
 	"hash/fnv"
 )
 
-// slotsPerOwner is the number of concurrent streams that one owner serves. It keeps the
-// event handling of an owner below one CPU core.
+// slotsPerOwner is the number of slots that one owner serves, and thus of the streams whose
+// events it handles. It limits the CPU usage of an owner.
 const slotsPerOwner = 600
 
 // ownerKey returns the key that is hashed to choose the owner of a job. A service
 // whose slots one node can serve has a single key. A larger one has a key per model
-// or, if there are too few models, a key per shard of the job ids.
+// or, if there are too few models, a key per shard of the job IDs.
 func ownerKey(service, model, job string, slots, models int) string {
 	shards := (slots + slotsPerOwner - 1) / slotsPerOwner
 	switch {
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -26,7 +26,7 @@
 	errSilent   = fmt.Errorf("no event: %w", upstream.ErrSilent)
 )
 
-// Failures of a run that are due to its backend.
+// Failures of a run that the response of its backend shows.
 var (
 	errEventGap       = errors.New("event id out of sequence")
 	errOldVersion     = errors.New("weight version older than the job's minimum")
@@ -59,7 +59,7 @@
 	priority int
 }
 
-// launch starts a run of an item on a backend. The lock is held.
+// launch starts a run of an item on a backend. The caller holds r.mu.
 func (r *runner) launch(job *ownedJob, index int, route *routetable.Route, backend fleet.Backend) {
 	ctx, cancel := context.WithCancelCause(job.ctx)
 	item := &job.items[index]
@@ -344,7 +344,7 @@
 }
 
 // withhold handles a run that this node did not send. It does not count as a run or
-// against the backend, and the item keeps waiting. The lock is held.
+// against the backend, and the item keeps waiting. The caller holds r.mu.
 func (r *runner) withhold(run *run, err error) {
 	item := &run.job.items[run.index]
 	item.runs--
@@ -363,7 +363,9 @@
 )
 
 // blame suspends the backend of a failed run or counts a failure against it, depending
-// on the error. Cancellations by this node and failures due to the item do neither.
+// on the error. It does neither if the job was closed, the item was moved, stopped or
+// expired, or the failure may be due to the item. errSilent is a failure of the backend,
+// although this node cancels the run.
 func (r *runner) blame(run *run, err error) {
 	backends, now := r.manager.config.Fleet, time.Now()
 	switch {
@@ -384,7 +386,7 @@
 	return errors.As(err, &failure)
 }
 
-// logItem logs the end of a run, as a warning if err is not nil. The lock is held.
+// logItem logs the end of a run, as a warning if err is not nil. The caller holds r.mu.
 func (r *runner) logItem(run *run, event string, err error) {
 	item := &run.job.items[run.index]
 	fields := eventlog.Fields{
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -26,14 +26,14 @@
 type itemState struct {
 	phase phase
 	text  text
-	// work is the fingerprint of the item's request, which does not depend on its id.
+	// work is the fingerprint of the item's request, which does not depend on its ID.
 	work fingerprint.Fingerprint
 	// trial is set if the next run tests whether the quarantined request still crashes
 	// its backend.
 	trial bool
-	// failures counts the runs that the backend failed.
+	// failures counts the runs that ended in a server error.
 	failures int
-	// backend is the id of the backend of the last run.
+	// backend is the ID of the backend of the last run.
 	backend string
 	// cancel cancels the current run, nil if there is none.
 	cancel context.CancelCauseFunc
@@ -57,9 +57,10 @@
 	target string
 	// urgent items were moved and are scheduled before all other waiting items.
 	urgent bool
-	// short items are expected to be among the shorter two thirds of their job.
+	// short items are among the shorter two thirds of their job by hint, and their hints are
+	// less than half of the largest.
 	short bool
-	// long items are expected to be among the longest of their job.
+	// long items are among those with the largest hints of their job.
 	long  bool
 	score scoreState
 }
@@ -104,8 +105,8 @@
 	// scoring holds the indices of the items in phaseScoring in the order in which they
 	// entered it.
 	scoring []int
-	// failures counts failed runs and scoring calls; failuresStored is its value as of
-	// the stored head.
+	// failures counts the runs that ended in a server error and the failed scoring calls;
+	// failuresStored is its value as of the stored head.
 	failures, failuresStored int
 }
 
@@ -221,7 +222,7 @@
 	return len(m.runner.jobs), items
 }
 
-// owned returns the ids of the open jobs.
+// owned returns the IDs of the open jobs.
 func (r *runner) owned() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -346,7 +347,7 @@
 	return route != nil && route.SingleVersion
 }
 
-// route returns the route of a job in the configuration in force, nil if there is none.
+// route returns the route of a job in the current configuration, nil if there is none.
 // If the named route no longer exists, the job is routed by its first item.
 func (r *runner) route(spec *Spec) *routetable.Route {
 	table := r.manager.config.Routes()
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// urgentWeight is added to the weight of urgent items. It exceeds any length hint.
+// urgentWeight is added to the weight of urgent items and of items that have been running for
+// more than longRun. It exceeds any length hint.
 const urgentWeight = 1e12
 
 // appendCandidates appends the candidates of a job to list. The caller holds r.mu.
@@ -76,7 +77,7 @@
 			}
 			list = append(list, c)
 		case phaseRunning:
-			// A quarantined item that runs is a trial run, which is granted only once.
+			// The run of a quarantined item is its trial run, which is granted only once.
 			// Moving it would start it a second time.
 			if !p.of(route, index).uneven || !movable(item, p.now) || p.world.QuarantineFailures(item.work) > 0 {
 				continue
@@ -99,7 +100,7 @@
 	return config.Tenants.Named(tenant).Rank(route.Priority)
 }
 
-// weight returns the priority of a tenant's requests on a route in the current
+// priority returns the priority of a tenant's requests on a route in the current
 // configuration.
 func (r *runner) priority(tenant string, route *routetable.Route) int {
 	return priorityOf(r.manager.config.Routes(), tenant, route)
@@ -126,7 +127,8 @@
 	used  map[string]usage
 	world *eligibility.Snapshot
 	// given counts, by backend ID, the requests that were assigned in this or an earlier
-	// round and have not been sent yet. The limit of a cold backend does not count them.
+	// round and have not been sent yet. eligibility.Snapshot.Turns does not count them, so
+	// turnsLeft subtracts them.
 	given map[string]int
 	// demands holds the remaining work of each job.
 	demands map[*ownedJob]*demand
@@ -157,7 +159,7 @@
 	return p
 }
 
-// turnsLeft wraps turns to subtract the requests that were assigned but not sent yet.
+// turnsLeft wraps turns to subtract the requests in p.given.
 func (p *pools) turnsLeft(turns func(*fleet.Backend) int) func(*fleet.Backend) int {
 	return func(b *fleet.Backend) int {
 		left := turns(b)
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -17,17 +17,17 @@
 	// scoreReserve is the share of a backend's slots, at least one, that is reserved for live
 	// requests, which have precedence.
 	scoreReserve = 0.15
-	// scoreOpening is the cost of a new connection in latencies, so that a call prefers a
-	// backend with an idle connection.
+	// scoreOpening is the cost of opening a connection, in latencies. A call prefers a backend
+	// with an idle connection.
 	scoreOpening = 1
-	// scoreDistance is the number of round trips added to the cost. It exceeds the one that a
-	// call takes because traffic between zones and regions is charged for.
+	// scoreDistance is the number of round trips to the backend that are added to the cost. A
+	// call takes one; the rest accounts for the charges for traffic between zones and regions.
 	scoreDistance = 1.5
 	// scoreUsual is the assumed latency if none is known.
 	scoreUsual = 30 * time.Millisecond
 	// scoreLimitLatencies and scoreLimitTargets determine the initial timeout of a call: the
-	// greater of so many latencies and so many targets. It doubles with each call that was cut
-	// off, since a request may take much longer than most.
+	// greater of these multiples of the latency and of the target. It doubles with each call that
+	// was cut off, since a request may take much longer than most.
 	scoreLimitLatencies = 12
 	scoreLimitTargets   = 2
 	// scoreTimeout is the maximum timeout of a call in ms on a route without a timeout.
@@ -35,7 +35,7 @@
 	// failedPause is the delay in ms before the next call after a response without a score.
 	failedPause clock.Millis = 30
 	// hedgeLatencies and hedgeTargets determine the delay of a hedging call: the greater of
-	// so many latencies and this share of the target.
+	// these multiples of the latency and of the target.
 	hedgeLatencies = 4
 	hedgeTargets   = 0.5
 )
--- a/internal/gatewaynode/batch/specs.go
+++ b/internal/gatewaynode/batch/specs.go
@@ -42,7 +42,7 @@
 // concurrent use.
 type specCache struct {
 	mu sync.Mutex
-	// order holds the ids of the cached jobs, oldest first.
+	// order holds the IDs of the cached jobs, oldest first.
 	order []string
 	specs map[string]*Spec
 }
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// submitRetryPause is the pause between attempts to write a head or an end row.
+	// submitRetryPause is the pause between attempts to write a part of a
+	// specification, a head or an end row.
 	submitRetryPause = 60 * time.Millisecond
 	// maxSpecPartBytes is the maximum size of a part of a specification, in bytes.
 	maxSpecPartBytes = 48 << 10
@@ -57,7 +58,7 @@
 	return status
 }
 
-// duplicateStatus returns the status of a submission whose id is in use: OK for a repeated
+// duplicateStatus returns the status of a submission whose ID is in use: OK for a repeated
 // submission by the same tenant, IDInUse otherwise.
 func duplicateStatus(state jobState, tenant string) Status {
 	if state.known && state.head.Tenant != tenant {
--- a/internal/gatewaynode/batch/text_test.go
+++ b/internal/gatewaynode/batch/text_test.go
@@ -59,22 +59,22 @@
 }
 
 // partial returns a stored row of text.
-func partial(item int, line string, from int, words ...string) rowstore.Row {
+func partial(item int, sequence string, from int, words ...string) rowstore.Row {
 	row := partialRow{}
 	for _, word := range words {
 		row.Events = append(row.Events, []byte(word))
 		row.Versions = append(row.Versions, 1)
 	}
-	return rowstore.Row{RowID: partialID("job", item, line, from), Value: encode(row)}
+	return rowstore.Row{RowID: partialID("job", item, sequence, from), Value: encode(row)}
 }
 
-// TestDecodePartials checks that rows of different lines, which different owners wrote, are not
+// TestDecodePartials checks that rows of different sequences, which different owners wrote, are not
 // combined, and that a gap ends the text.
 func TestDecodePartials(t *testing.T) {
 	rows := []rowstore.Row{
-		// Item 0: one line in two rows.
+		// Item 0: one sequence in two rows.
 		partial(0, "1.0", 0, "a", "b"), partial(0, "1.0", 2, "c"),
-		// Item 1: two lines, of which the second owner's is longer.
+		// Item 1: two sequences, of which the second owner's is longer.
 		partial(1, "1.0", 0, "x", "y"), partial(1, "2.0", 0, "p", "q", "r"),
 		// Item 2: a row is missing in between.
 		partial(2, "1.0", 0, "a"), partial(2, "1.0", 3, "d"),
--- a/internal/gatewaynode/batch/unsent.go
+++ b/internal/gatewaynode/batch/unsent.go
@@ -6,7 +6,8 @@
 )
 
 // unsent counts the calls per backend that were scheduled and still wait for a
-// connection. They are not yet counted against the limit on requests to a cold backend.
+// connection. The limit on requests to a cold backend does not count them yet, hence the
+// scheduler subtracts them from it.
 // It is safe for concurrent use.
 type unsent struct {
 	mu     sync.Mutex
@@ -34,7 +35,7 @@
 	}
 }
 
-// snapshot returns a copy of the counts by backend id.
+// snapshot returns a copy of the counts by backend ID.
 func (u *unsent) snapshot() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
