--- a/internal/gatewaynode/quarantine/handler_test.go
+++ b/internal/gatewaynode/quarantine/handler_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestOperatorsListAndLift(t *testing.T) {
+func TestHandlerListsAndClears(t *testing.T) {
 	s := newScene()
 	work := workOf("w")
 	for _, backend := range []string{"b1", "b2", "b3"} {
@@ -29,7 +29,7 @@
 		t.Errorf("DELETE of a malformed fingerprint: status %d, want 400", status)
 	}
 	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNoContent || s.tracker.Held(work) > 0 {
-		t.Errorf("DELETE: status %d, %d ends held; want 204 and 0", status, s.tracker.Held(work))
+		t.Errorf("DELETE: status %d, %d failures; want 204 and 0", status, s.tracker.Held(work))
 	}
 	if status, _ := ask(http.MethodDelete, HandlerPath+work.String()); status != http.StatusNotFound {
 		t.Errorf("second DELETE: status %d, want 404", status)
--- a/internal/gatewaynode/quarantine/book_test.go
+++ b/internal/gatewaynode/quarantine/tracker_test.go
@@ -158,11 +158,11 @@
 	return out.String()
 }
 
-// TestBook runs the script in virtual time. The command "new" starts with an empty Tracker.
-func TestBook(t *testing.T) {
+// TestTracker runs the script in virtual time. The command "new" starts with an empty Tracker.
+func TestTracker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
-		datadriven.RunTest(t, "testdata/book", func(t *testing.T, d *datadriven.TestData) string {
+		datadriven.RunTest(t, "testdata/tracker", func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "new" {
 				s = newScene()
 				return ""
@@ -176,9 +176,9 @@
 	})
 }
 
-// TestBoundsOfABook checks that a full Tracker evicts the works with the fewest failures and that
+// TestTrackerBounds checks that a full Tracker evicts the works with the fewest failures and that
 // the queue stays bounded.
-func TestBoundsOfABook(t *testing.T) {
+func TestTrackerBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
 		for i := range 2 * maxSuspects {
@@ -196,9 +196,9 @@
 	})
 }
 
-// TestCallsOverTheBoundAreNotFollowed checks that a call above runsMost is counted, that its
+// TestCallsOverBoundAreNotFollowed checks that a call above maxRuns is counted, that its
 // loss is no evidence and that its success still clears its work.
-func TestCallsOverTheBoundAreNotFollowed(t *testing.T) {
+func TestCallsOverBoundAreNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
 		s.backends["b1"], s.dials["b1"] = Registered{Present: true}, "refused"
@@ -224,9 +224,9 @@
 	})
 }
 
-// TestRowsAreWrittenOnceForEachEnd checks that two nodes that detect the same failure write the
+// TestOneRowPerFailure checks that two nodes that detect the same failure write the
 // same row.
-func TestRowsAreWrittenOnceForEachEnd(t *testing.T) {
+func TestOneRowPerFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene()
 		second := New(Config{Node: "n2", Store: s.store, Dial: s.dial, Backend: func(string) Registered { return Registered{Present: true} }})
