--- a/internal/gatewaynode/quarantine/doc.go
+++ b/internal/gatewaynode/quarantine/doc.go
@@ -1,6 +1,6 @@
 // Package quarantine stops requests that crash the back ends running them from reaching
-// more back ends: once QuarantineThreshold back ends have failed while running the same work, no
-// node forwards that work until enough of the failures are forgotten.
+// more back ends: once QuarantineThreshold back ends have failed while running the same work,
+// no node forwards that work until enough of the failures are forgotten.
 //
 // A work is what a request asks for; requests for the same work have the same
 // fingerprint (package fingerprint).
@@ -14,10 +14,10 @@
 //   - at once, if its address refuses a new connection after the request's connection
 //     broke (FailureRefused). Every request that was unanswered there is suspected.
 //   - once the registry no longer lists the back end and nothing more has been received
-//     from it (FailureUnregistered), as after a power loss, where connections stay silent. The failure
-//     is withdrawn if the same entry reappears.
-//   - provisionally, if a new connection to its address times out (FailureUnresponsive). Only the
-//     observing node acts on this, until the registry confirms it or it expires.
+//     from it (FailureUnregistered), as after a power loss, where connections stay silent.
+//     The failure is withdrawn if the same entry reappears.
+//   - provisionally, if a new connection to its address times out (FailureUnresponsive). Only
+//     the observing node acts on this, until the registry confirms it or it expires.
 //
 // The failure of a draining back end is ignored. A complete 2xx response clears a work,
 // since the work has then run to its end without harm. Common harmless requests are
@@ -40,7 +40,7 @@
 // # Bounds
 //
 // A node remembers at most maxSuspects works, follows maxRuns calls and queues
-// maxQueuedRows rows for writing, of which singleFailureQueueLimit may belong to works with a single failure. Whatever
-// exceeds these is dropped, and Tracker.Dropped counts calls and rows; works with fewer
+// maxQueuedRows rows for writing, of which singleFailureQueueLimit may belong to works with a
+// single failure. Whatever exceeds these is dropped, and Tracker.Dropped counts calls and rows; works with fewer
 // failures are dropped first.
 package quarantine
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -19,7 +19,7 @@
 	// keepSpread is the random addition to FailureTTL on each node, so that usually one node
 	// deletes the row and the others see it deleted.
 	keepSpread = FailureTTL / 10
-	// silentKeep is how long an unconfirmed FailureUnresponsive failure counts. It exceeds the 3.5 s
+	// silentKeep is how long an unconfirmed FailureUnresponsive counts. It exceeds the 3.5 s
 	// within which the registry drops a back end that stopped reporting.
 	silentKeep = 5 * time.Second
 )
@@ -64,7 +64,7 @@
 	stored bool
 }
 
-// counts reports whether the failure counts as evidence at time now: a silent one expires.
+// counts reports whether the failure counts as evidence at time now: an unresponsive one expires.
 func (k known) counts(now time.Time) bool {
 	return k.Kind != FailureUnresponsive || now.Sub(k.at) < silentKeep
 }
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// cleared withdraws a failure whose row was deleted. A failure that this node has not yet written
-// stays. The caller holds t.mu.
+// cleared withdraws a failure whose row was deleted. A failure that this node has not yet
+// written stays. The caller holds t.mu.
 func (t *Tracker) cleared(failure Failure, now time.Time) {
 	s := t.suspects[failure.Work]
 	if s == nil {
@@ -152,7 +152,8 @@
 	return encoded
 }
 
-// ReceiveFailures takes encoded failures from another node that could not write the failures to the store.
+// ReceiveFailures takes encoded failures from another node that could not write them to the
+// store.
 func (t *Tracker) ReceiveFailures(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
--- a/internal/gatewaynode/quarantine/tracker.go
+++ b/internal/gatewaynode/quarantine/tracker.go
@@ -136,8 +136,8 @@
 // causeAnswered is the logged cause when a recent success overrules a failure.
 const causeAnswered = "answered with success recently"
 
-// add adds a failure and reports whether it is new, or confirms a silent one. The caller holds
-// t.mu.
+// add adds a failure and reports whether it is new, or confirms an unresponsive
+// one. The caller holds t.mu.
 func (t *Tracker) add(k known) bool {
 	s := t.suspects[k.Work]
 	if s == nil {
@@ -256,8 +256,8 @@
 	t.forget(s, true)
 }
 
-// Clear removes all failures of a work on all nodes at an operator's request and reports whether it was
-// suspected.
+// Clear removes all failures of a work on all nodes at an operator's request and
+// reports whether it was suspected.
 func (t *Tracker) Clear(work fingerprint.Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -366,8 +366,8 @@
 	}
 }
 
-// dropPresumed withdraws the silent failures that expired without a confirmation. The caller
-// holds t.mu.
+// dropPresumed withdraws the unresponsive failures that expired without a confirmation. The
+// caller holds t.mu.
 func (t *Tracker) dropPresumed(s *suspect, now time.Time) {
 	for id, k := range s.failures {
 		if !k.counts(now) {
--- a/internal/gatewaynode/quarantine/tracker_test.go
+++ b/internal/gatewaynode/quarantine/tracker_test.go
@@ -231,10 +231,10 @@
 		s := newScene()
 		second := New(Config{Node: "n2", Store: s.store, Dial: s.dial, Backend: func(string) Registered { return Registered{Present: true} }})
 		s.backends["b1"], s.dials["b1"] = Registered{Present: true}, "refused"
-		for _, book := range []*Tracker{s.tracker, second} {
-			book.Begin(&upstream.Call{Work: workOf("w"), Instance: "b1", Address: "b1"}, func() {}).End(upstream.EndLost, 0)
+		for _, tracker := range []*Tracker{s.tracker, second} {
+			tracker.Begin(&upstream.Call{Work: workOf("w"), Instance: "b1", Address: "b1"}, func() {}).End(upstream.EndLost, 0)
 			synctest.Wait()
-			book.write(t.Context(), Writer{})
+			tracker.write(t.Context(), Writer{})
 		}
 		rows := s.store.Rows(Table)
 		if len(rows) != 1 {
--- a/internal/gatewaynode/upstream/body.go
+++ b/internal/gatewaynode/upstream/body.go
@@ -13,9 +13,9 @@
 	client   *Client
 	conn     *connection
 	response *http.Response
-	// tainted reports that surplus answers came first, so that the connection cannot be
+	// sawSurplus reports that surplus answers came first, so that the connection cannot be
 	// reused.
-	tainted bool
+	sawSurplus bool
 	// written receives the result of writing the request body, see send.
 	written <-chan error
 	// release detaches the connection from the context of the call. It reports false if the
@@ -43,21 +43,21 @@
 	if !b.release() {
 		return
 	}
-	if b.tainted || !finished(b.written) {
+	if b.sawSurplus || !finished(b.written) {
 		b.client.drop(b.conn, OpenCut)
 		return
 	}
-	b.client.park(b.conn, b.response)
+	b.client.recycle(b.conn, b.response)
 }
 
-// drainMost is the longest body, in bytes, that Drain reads.
-const drainMost = 64 << 10
+// maxDrain is the longest body, in bytes, that Drain reads.
+const maxDrain = 64 << 10
 
 // Drain discards the rest of a short body, so that the connection can be reused. It does not
 // close the body.
 func (a *Answer) Drain() {
-	if a.Length <= drainMost {
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, drainMost))
+	if a.Length <= maxDrain {
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxDrain))
 	}
 }
 
--- a/internal/gatewaynode/upstream/distrust_test.go
+++ b/internal/gatewaynode/upstream/closeidle_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestIdleConnectionsOutliveACallerThatLeft checks that the other idle connections to a back
+// TestTimeoutClosesIdleConnections checks that the other idle connections to a back
 // end are closed after a call that timed out, but not after one that its caller cancelled or
 // that another attempt made superfluous.
-func TestIdleConnectionsOutliveACallerThatLeft(t *testing.T) {
+func TestTimeoutClosesIdleConnections(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		cause error
@@ -27,9 +27,9 @@
 			if err := call(t.Context(), client, false); err != nil {
 				t.Fatal(err)
 			}
-			server.delay = 2 * silentLeast
+			server.delay = 2 * minSilence
 			ctx, cancel := context.WithCancelCause(t.Context())
-			time.AfterFunc(silentLeast+time.Millisecond, func() { cancel(test.cause) })
+			time.AfterFunc(minSilence+time.Millisecond, func() { cancel(test.cause) })
 			if err := call(ctx, client, true); FateOf(err) != Unknown {
 				t.Errorf("%s: call returned %v, want fate unknown", test.name, err)
 			}
@@ -37,7 +37,7 @@
 				t.Errorf("%s: %d idle connections, want %d", test.name, kept, test.kept)
 			}
 			client.Sweep(func(string, string) bool { return false })
-			time.Sleep(2 * silentLeast)
+			time.Sleep(2 * minSilence)
 		})
 	}
 }
--- a/internal/gatewaynode/upstream/connections.go
+++ b/internal/gatewaynode/upstream/connections.go
@@ -60,7 +60,7 @@
 	// busy is the number of connections in use.
 	busy int
 	// lost holds the causes of closed connections that were not yet replaced, at most
-	// lostMost of the latest. Each becomes the OpenCause of one new connection. lostAt is the
+	// maxLost of the latest. Each becomes the OpenCause of one new connection. lostAt is the
 	// time of the last.
 	lost   []OpenCause
 	lostAt time.Time
@@ -68,12 +68,12 @@
 	heard time.Time
 }
 
-// lostMost bounds peer.lost.
-const lostMost = 32
+// maxLost bounds peer.lost.
+const maxLost = 32
 
-// lose records the cause of a closed connection.
-func (p *peer) lose(why OpenCause) {
-	if len(p.lost) == lostMost {
+// recordLost records the cause of a closed connection.
+func (p *peer) recordLost(why OpenCause) {
+	if len(p.lost) == maxLost {
 		p.lost = p.lost[1:]
 	}
 	p.lost, p.lostAt = append(p.lost, why), time.Now()
@@ -97,9 +97,9 @@
 	roundTrip time.Duration
 	// keep is the idle timeout that the back end stated, 0 if none.
 	keep time.Duration
-	// parked is when an answer was last completed on the connection, or when it was first
+	// idleSince is when an answer was last completed on the connection, or when it was first
 	// returned unused.
-	parked time.Time
+	idleSince time.Time
 	// used reports whether an answer was completed on the connection.
 	used bool
 	// expires reports whether expire set a limit on the socket.
@@ -190,7 +190,7 @@
 		if conn == nil {
 			return nil
 		}
-		if time.Since(conn.parked) >= c.idleLimit(conn) {
+		if time.Since(conn.idleSince) >= c.idleLimit(conn) {
 			c.drop(conn, OpenExpired)
 			continue
 		}
@@ -208,7 +208,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.peers[id]
-	if held == nil || len(held.idle) == 0 || held.idle[len(held.idle)-1].parked.Before(since) {
+	if held == nil || len(held.idle) == 0 || held.idle[len(held.idle)-1].idleSince.Before(since) {
 		return nil
 	}
 	conn := held.idle[len(held.idle)-1]
@@ -226,15 +226,15 @@
 	return max(conn.keep-idleMargin, conn.keep/2)
 }
 
-// park returns a connection to the pool after a complete answer, or closes it if it cannot
+// recycle returns a connection to the pool after a complete answer, or closes it if it cannot
 // be reused.
-func (c *Client) park(conn *connection, response *http.Response) {
+func (c *Client) recycle(conn *connection, response *http.Response) {
 	if response.Close || conn.reader.Buffered() > 0 || !silent(conn) {
 		c.drop(conn, OpenClosed)
 		return
 	}
 	conn.keep = keepAlive(response.Header.Get("Keep-Alive"))
-	conn.parked = time.Now()
+	conn.idleSince = time.Now()
 	conn.used = true
 	c.giveBack(conn)
 }
@@ -246,8 +246,8 @@
 		c.drop(conn, OpenCut)
 		return
 	}
-	if conn.parked.IsZero() {
-		conn.parked = time.Now()
+	if conn.idleSince.IsZero() {
+		conn.idleSince = time.Now()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,25 +267,25 @@
 		conn.ended = true
 		held := c.of(conn.peer)
 		held.busy--
-		held.lose(why)
+		held.recordLost(why)
 	}
 	c.mu.Unlock()
 	_ = conn.Close()
 }
 
-// distrust closes the idle connections to a peer that were not used after since.
-func (c *Client) distrust(id Peer, since time.Time) {
+// closeIdleBefore closes the idle connections to a peer that were not used after since.
+func (c *Client) closeIdleBefore(id Peer, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.of(id)
 	var rest []*connection
 	for _, conn := range held.idle {
-		if conn.parked.After(since) {
+		if conn.idleSince.After(since) {
 			rest = append(rest, conn)
 			continue
 		}
 		conn.ended = true
-		held.lose(OpenCut)
+		held.recordLost(OpenCut)
 		_ = conn.Close()
 	}
 	held.idle = rest
@@ -300,12 +300,12 @@
 		wanted := keep(id.Address, id.Instance)
 		var rest []*connection
 		for _, conn := range held.idle {
-			if wanted && time.Since(conn.parked) < c.idleLimit(conn) {
+			if wanted && time.Since(conn.idleSince) < c.idleLimit(conn) {
 				rest = append(rest, conn)
 				continue
 			}
 			conn.ended = true
-			held.lose(OpenExpired)
+			held.recordLost(OpenExpired)
 			_ = conn.Close()
 		}
 		held.idle = rest
@@ -333,7 +333,7 @@
 	standing := make(map[Peer]int)
 	for id, held := range c.peers {
 		for _, conn := range held.idle {
-			if time.Since(conn.parked) < c.idleLimit(conn) {
+			if time.Since(conn.idleSince) < c.idleLimit(conn) {
 				standing[id]++
 			}
 		}
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -233,15 +233,15 @@
 	// idleMargin is subtracted from the idle timeout that a back end states, so that a call
 	// is not sent on a connection that the back end is closing.
 	idleMargin = 300 * time.Millisecond
-	// silentLeast is how long a call must have waited for an answer before its failure
+	// minSilence is how long a call must have waited for an answer before its failure
 	// closes the other idle connections to the back end. It exceeds the usual time to the
 	// head of an answer.
-	silentLeast = 500 * time.Millisecond
+	minSilence = 500 * time.Millisecond
 	// inlineBody is the largest body, in bytes, that is written in full before the answer is
 	// read.
 	inlineBody = 32 << 10
-	// surplusMost bounds the surplus answers that a call discards.
-	surplusMost = 2
+	// maxSurplus bounds the surplus answers that a call discards.
+	maxSurplus = 2
 	// surplusBytes bounds the body of a discarded answer.
 	surplusBytes = 1 << 20
 )
@@ -329,8 +329,8 @@
 	}
 	if ctx.Err() != nil && failure.Fate == Unknown {
 		failure.Cause = ctx.Err()
-		if gaveUp(ctx) && time.Since(sent) >= silentLeast {
-			c.distrust(conn.peer, sent)
+		if gaveUp(ctx) && time.Since(sent) >= minSilence {
+			c.closeIdleBefore(conn.peer, sent)
 		}
 	}
 	return nil, failure
@@ -373,7 +373,7 @@
 		if c.belongs(conn, call, meta, response.StatusCode, surplus) {
 			return c.answer(conn, call, response, meta, surplus > 0, written, release)
 		}
-		if surplus >= surplusMost || discard(response.Body) != nil || response.Close {
+		if surplus >= maxSurplus || discard(response.Body) != nil || response.Close {
 			return nil, &Error{Fate: Unknown, Cause: ErrSurplus}
 		}
 	}
@@ -393,18 +393,18 @@
 }
 
 // answer returns the Answer of a response, or a NotRun error if the response refuses the
-// call. The connection of a refusal is kept if it is reusable. tainted means that surplus
+// call. The connection of a refusal is kept if it is reusable. sawSurplus means that surplus
 // answers came before.
-func (c *Client) answer(conn *connection, call *Call, response *http.Response, meta Meta, tainted bool, written <-chan error, release func() bool) (*Answer, *Error) {
+func (c *Client) answer(conn *connection, call *Call, response *http.Response, meta Meta, sawSurplus bool, written <-chan error, release func() bool) (*Answer, *Error) {
 	if meta.NotRun || meta.WrongInstance {
 		failure := &Error{Fate: NotRun, Cause: errNotRun, Status: response.StatusCode}
-		if discard(response.Body) == nil && !tainted && finished(written) && release() {
-			c.park(conn, response)
+		if discard(response.Body) == nil && !sawSurplus && finished(written) && release() {
+			c.recycle(conn, response)
 			failure.kept = true
 		}
 		return nil, failure
 	}
-	body := &answerBody{client: c, conn: conn, response: response, tainted: tainted, written: written, release: release}
+	body := &answerBody{client: c, conn: conn, response: response, sawSurplus: sawSurplus, written: written, release: release}
 	return &Answer{
 		Meta:   meta,
 		Status: response.StatusCode,
