--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -155,7 +155,7 @@
 		config: r.manager.config.Routes(), used: r.usages(), demands: make(map[*ownedJob]*demand),
 		world: r.manager.config.Gate.Snapshot(now), given: r.unsent.snapshot(),
 	}
-	p.world.Turns = p.turnsLeft(p.world.Turns)
+	p.world.ColdRequestsLeft = p.turnsLeft(p.world.ColdRequestsLeft)
 	return p
 }
 
--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -60,12 +60,12 @@
 	EvacuationsAge time.Duration
 	// MaxEvacuationsAge is the maximum Age at which Patient requests are sent, 0 for no limit.
 	MaxEvacuationsAge time.Duration
-	// Turns returns how many requests this node may send to a cold back end now, or
-	// coldstart.Unbounded. If Turns is nil, the number is unbounded for all back ends.
-	Turns func(backend *fleet.Backend) int
-	// NextTurn returns the time until this node may send another request to a cold back
-	// end, 0 if unknown. If NextTurn is nil, it is unknown for all back ends.
-	NextTurn func(backend *fleet.Backend) time.Duration
+	// ColdRequestsLeft returns how many requests this node may send to a cold back end now, or
+	// coldstart.Unbounded. If ColdRequestsLeft is nil, the number is unbounded for all back ends.
+	ColdRequestsLeft func(backend *fleet.Backend) int
+	// ColdRetryDelay returns the time until this node may send another request to a cold back
+	// end, 0 if unknown. If ColdRetryDelay is nil, it is unknown for all back ends.
+	ColdRetryDelay func(backend *fleet.Backend) time.Duration
 }
 
 // Decide returns the reason why a back end may not get a request, nil if it may. It is a
@@ -99,10 +99,10 @@
 // limit.
 func (w *Snapshot) checkCold(b *fleet.Backend, r Request) Reason {
 	left := b.ColdUntil.Sub(w.Now)
-	if left <= 0 || w.Turns == nil {
+	if left <= 0 || w.ColdRequestsLeft == nil {
 		return nil
 	}
-	turns := w.Turns(b)
+	turns := w.ColdRequestsLeft(b)
 	if turns == coldstart.Unbounded || turns > 0 && !r.AvoidCold {
 		return nil
 	}
@@ -176,10 +176,10 @@
 
 // roomAfter returns the time until a cold back end is warm or may get another request.
 func (w *Snapshot) roomAfter(b *fleet.Backend, cold Cold) time.Duration {
-	if w.NextTurn == nil {
+	if w.ColdRetryDelay == nil {
 		return cold.Left
 	}
-	if next := w.NextTurn(b); next > 0 {
+	if next := w.ColdRetryDelay(b); next > 0 {
 		return min(next, cold.Left)
 	}
 	return cold.Left
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -50,9 +50,9 @@
 		{"not the only allowed version", nil, Snapshot{}, Request{Model: "m", Weights: true, Version: 2}, OtherWeights{Version: 3}},
 		{"loading", func(b *fleet.Backend) { b.LoadingModel = "m" }, Snapshot{}, Request{Model: "m", Weights: true}, Loading{}},
 		{"loading another model", func(b *fleet.Backend) { b.LoadingModel = "n" }, Snapshot{}, Request{Model: "m", Weights: true}, nil},
-		{"cold, below the limit", cold, Snapshot{Turns: func(*fleet.Backend) int { return 1 }}, Request{}, nil},
-		{"cold, limit reached", cold, Snapshot{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, Cold{Left: 2 * time.Second}},
-		{"no longer cold", func(b *fleet.Backend) { b.ColdUntil = now }, Snapshot{Turns: func(*fleet.Backend) int { return 0 }}, Request{}, nil},
+		{"cold, below the limit", cold, Snapshot{ColdRequestsLeft: func(*fleet.Backend) int { return 1 }}, Request{}, nil},
+		{"cold, limit reached", cold, Snapshot{ColdRequestsLeft: func(*fleet.Backend) int { return 0 }}, Request{}, Cold{Left: 2 * time.Second}},
+		{"no longer cold", func(b *fleet.Backend) { b.ColdUntil = now }, Snapshot{ColdRequestsLeft: func(*fleet.Backend) int { return 0 }}, Request{}, nil},
 	}
 	for _, test := range cases {
 		b := backend(test.change)
@@ -70,7 +70,7 @@
 		backend(func(b *fleet.Backend) { b.ColdUntil = now.Add(2 * time.Second) }),
 		backend(func(b *fleet.Backend) { b.ColdUntil = now.Add(time.Second) }),
 	}
-	world := Snapshot{Now: now, Turns: func(*fleet.Backend) int { return 0 }}
+	world := Snapshot{Now: now, ColdRequestsLeft: func(*fleet.Backend) int { return 0 }}
 	survey := world.Survey(backends, Request{})
 	if survey.Eligible != 1 || survey.Reasons["draining"] != 1 || survey.Reasons["cold"] != 2 || survey.ColdWait != time.Second {
 		t.Errorf("Survey returned %+v", survey)
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -27,9 +27,9 @@
 	// Observe is called with the label of the reason for each call that Admit refuses. It
 	// may be nil.
 	Observe func(label string)
-	// ObserveTurn is called for each call that Admit admits to a cold back end. It may be
+	// ObserveColdCall is called for each call that Admit admits to a cold back end. It may be
 	// nil.
-	ObserveTurn func(service string)
+	ObserveColdCall func(service string)
 }
 
 // Gate checks calls to back ends immediately before they are sent. It is safe for concurrent
@@ -47,8 +47,8 @@
 	return &Snapshot{
 		Now: now, Failures: g.config.QuarantineFailures, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
 		EvacuationsAge: g.config.EvacuationsAge(now), MaxEvacuationsAge: g.config.MaxEvacuationsAge,
-		Turns:    func(b *fleet.Backend) int { return g.turns.Remaining(b.ID, g.config.Share(b, now), now) },
-		NextTurn: func(b *fleet.Backend) time.Duration { return g.nextTurn(b, now) },
+		ColdRequestsLeft:    func(b *fleet.Backend) int { return g.turns.Remaining(b.ID, g.config.Share(b, now), now) },
+		ColdRetryDelay: func(b *fleet.Backend) time.Duration { return g.nextTurn(b, now) },
 	}
 }
 
@@ -98,8 +98,8 @@
 	if !g.turns.Take(b.ID, g.config.Share(b, now), now) {
 		return Cold{Left: left}
 	}
-	if g.config.ObserveTurn != nil {
-		g.config.ObserveTurn(b.Service)
+	if g.config.ObserveColdCall != nil {
+		g.config.ObserveColdCall(b.Service)
 	}
 	return nil
 }
--- a/internal/gatewaynode/reload/plan_test.go
+++ b/internal/gatewaynode/reload/plan_test.go
@@ -31,7 +31,7 @@
 		busy, resting := make(map[string]bool), make(map[string]bool)
 		demand, widths := make(map[string]float64), make(map[string]int)
 		world := &eligibility.Snapshot{
-			Now: time.Unix(1000, 0), Evacuations: evacuation.Set{}, Turns: func(*fleet.Backend) int { return 1 },
+			Now: time.Unix(1000, 0), Evacuations: evacuation.Set{}, ColdRequestsLeft: func(*fleet.Backend) int { return 1 },
 		}
 		within := bounds{regions: make(map[string]place.Regions), zones: place.NewMap(map[string]string{"ax": "a", "bx": "b"})}
 		var backends []fleet.Backend
