--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -86,7 +86,7 @@
 // if few are missing, and not beyond their due time. Once all items are expected to end
 // within maxTailHold, holdUntilEnd applies.
 //
-// The caller holds the runner's lock.
+// The caller holds runner.mu.
 func (j *ownedJob) holdLeft(route *routetable.Route, known *lengths, now time.Time) clock.Millis {
 	if len(j.finished) == 0 || j.left == 0 || j.ctx.Err() != nil || j.groups.reached() {
 		return 0
@@ -144,7 +144,7 @@
 
 // endWithin returns the time within which all items will have ended, and whether it is
 // known. It is known only if all items with incomplete output are running and none is
-// longer than the longest ended item of its model. The caller holds the runner's lock.
+// longer than the longest ended item of its model. The caller holds runner.mu.
 func (j *ownedJob) endWithin(known *lengths) (clock.Millis, bool) {
 	most, running := time.Duration(0), false
 	for i := range j.items {
@@ -253,8 +253,8 @@
 	return p
 }
 
-// failures returns the numbers of failed runs and of failed scoring calls of unfinished
-// items, by item index. The caller holds the runner's lock.
+// failures returns the numbers of runs that ended in a server error and of failed scoring
+// calls of unfinished items, by item index. The caller holds runner.mu.
 func failures(job *ownedJob) (runs, scores map[int]int) {
 	runs, scores = make(map[int]int), make(map[int]int)
 	for i := range job.items {
--- a/internal/gatewaynode/batch/finish.go
+++ b/internal/gatewaynode/batch/finish.go
@@ -99,8 +99,8 @@
 }
 
 // expireMargin is added to the maximum queue time of a route before items expire, since
-// the wall clocks of two nodes differ. No item expires either until its job has been open on
-// this node for as long.
+// the wall clocks of two nodes differ. Nor does an item expire before its job has been open on
+// this node for that time.
 const expireMargin = 4 * time.Second
 
 // expire finishes all items as dead that exceeded the maximum queue time of their route.
--- a/internal/gatewaynode/batch/order.go
+++ b/internal/gatewaynode/batch/order.go
@@ -24,7 +24,7 @@
 
 // markShort marks the first longShare of the job's items, which have the largest hints, as long
 // if their hints are positive. It marks the last shortShare as short if their hints are less than
-// half of the largest. The caller holds the runner's lock.
+// half of the largest. The caller holds runner.mu.
 func (j *ownedJob) markShort() {
 	if len(j.order) == 0 {
 		return
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -65,7 +65,7 @@
 	score scoreState
 }
 
-// ownedJob is a job that this node has open. It is guarded by the runner's lock.
+// ownedJob is a job that this node has open. It is guarded by runner.mu.
 type ownedJob struct {
 	id string
 	// tenant is the tenant for which the items run. It never changes.
--- a/internal/gatewaynode/batch/scorecall.go
+++ b/internal/gatewaynode/batch/scorecall.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// recordBackendFailure records a failure or refusal of the call in the state of its backend. A call that was
-// canceled or withheld by this node says nothing about the backend.
+// recordBackendFailure records a failure or refusal of the call in the state of its backend.
+// A call that was canceled or withheld by this node says nothing about the backend.
 func (c *scoreCall) recordBackendFailure(fate scoreFate) {
 	backends, now := c.runner.manager.config.Fleet, time.Now()
 	if c.job.ctx.Err() != nil || errors.Is(c.ctx.Err(), context.Canceled) {
--- a/internal/gatewaynode/batch/unsent.go
+++ b/internal/gatewaynode/batch/unsent.go
@@ -6,9 +6,8 @@
 )
 
 // unsent counts the calls per backend that were scheduled and still wait for a
-// connection. The limit on requests to a cold backend does not count them yet, hence the
-// scheduler subtracts them from it.
-// It is safe for concurrent use.
+// connection. The limit on requests to a cold backend does not count them yet, so the
+// scheduler subtracts them from it. unsent is safe for concurrent use.
 type unsent struct {
 	mu     sync.Mutex
 	counts map[string]int
