--- a/internal/gatewaynode/coldstart/coldstart.go
+++ b/internal/gatewaynode/coldstart/coldstart.go
@@ -102,9 +102,9 @@
 	return max(share-len(l.recent(backend, now)), 0)
 }
 
-// Take counts a request to a backend at the moment of sending and reports whether the share
+// Allow counts a request to a backend at the moment of sending and reports whether the share
 // allows it. A request that is not allowed is not counted.
-func (l *Limiter) Take(backend string, share int, now time.Time) bool {
+func (l *Limiter) Allow(backend string, share int, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if share == Unbounded {
@@ -118,8 +118,8 @@
 	return true
 }
 
-// Next returns when the share allows the next request, the zero time if it never does.
-func (l *Limiter) Next(backend string, share int, now time.Time) time.Time {
+// NextAllowed returns when the share allows the next request, the zero time if it never does.
+func (l *Limiter) NextAllowed(backend string, share int, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	recent := l.recent(backend, now)
--- a/internal/gatewaynode/coldstart/coldstart_test.go
+++ b/internal/gatewaynode/coldstart/coldstart_test.go
@@ -62,20 +62,20 @@
 		ms      int
 		allowed bool
 	}{{0, true}, {600, true}, {700, false}, {1099, false}, {1100, true}, {1101, false}, {1700, true}} {
-		if got := limiter.Take("b", 2, at(step.ms)); got != step.allowed {
+		if got := limiter.Allow("b", 2, at(step.ms)); got != step.allowed {
 			t.Errorf("Take at %d ms = %t, want %t", step.ms, got, step.allowed)
 		}
 	}
 	if remaining := limiter.Remaining("b", 2, at(1800)); remaining != 0 {
 		t.Errorf("%d requests remaining at 1800 ms, want 0", remaining)
 	}
-	if next := limiter.Next("b", 2, at(1800)); !next.Equal(at(2200)) {
+	if next := limiter.NextAllowed("b", 2, at(1800)); !next.Equal(at(2200)) {
 		t.Errorf("next request allowed after %s, want 2.2s", next.Sub(start))
 	}
 	if remaining := limiter.Remaining("b", 2, at(5000)); remaining != 2 {
 		t.Errorf("%d requests remaining at 5000 ms, want 2", remaining)
 	}
-	if limiter.Take("b", 0, at(6000)) || !limiter.Next("b", 0, at(6000)).IsZero() {
+	if limiter.Allow("b", 0, at(6000)) || !limiter.NextAllowed("b", 0, at(6000)).IsZero() {
 		t.Error("a share of 0 allows a request")
 	}
 }
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -55,7 +55,7 @@
 // nextTurn returns the time until this node may send another request to a cold back end, 0
 // if its share is 0.
 func (g *Gate) nextTurn(b *fleet.Backend, now time.Time) time.Duration {
-	next := g.turns.Next(b.ID, g.config.Share(b, now), now)
+	next := g.turns.NextAllowed(b.ID, g.config.Share(b, now), now)
 	if next.IsZero() {
 		return 0
 	}
@@ -95,7 +95,7 @@
 // takeTurn counts a call to a cold back end, or returns Cold if the node's share is used up:
 // a concurrent call may have taken the rest of it since World.Decide.
 func (g *Gate) takeTurn(b *fleet.Backend, left time.Duration, now time.Time) Reason {
-	if !g.turns.Take(b.ID, g.config.Share(b, now), now) {
+	if !g.turns.Allow(b.ID, g.config.Share(b, now), now) {
 		return Cold{Left: left}
 	}
 	if g.config.ObserveColdCall != nil {
