--- a/internal/gatewaynode/forward/buffered.go
+++ b/internal/gatewaynode/forward/buffered.go
@@ -168,7 +168,7 @@
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody+1))
 	if err != nil {
 		_ = answer.Body.Close()
-		result.err = answer.Broken(err)
+		result.err = answer.BodyError(err)
 		return result
 	}
 	result.answer, result.content, result.complete = answer, content, len(content) <= maxBufferedBody
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -349,7 +349,7 @@
 		Work:    x.fingerprint,
 		// The backend may be closing an idle connection at this moment, after which a request
 		// that must not be repeated could not be sent again.
-		Fresh: !x.repeatable(), ProvenSince: x.unansweredAt,
+		NewConnection: !x.repeatable(), ProvenSince: x.unansweredAt,
 	}
 }
 
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -104,7 +104,7 @@
 			x.recordLikelyRun(answer.Sent)
 			return Report{}, false
 		}
-		x.recordFailure(backend, endedBy(attempt, answer.Broken(err)))
+		x.recordFailure(backend, endedBy(attempt, answer.BodyError(err)))
 		return Report{}, false
 	}
 	return Report{Outcome: OutcomeAnswered, Status: answer.Status, Backend: backend.ID}, true
@@ -122,7 +122,7 @@
 		err = errors.New("backend responded with " + http.StatusText(answer.Status))
 	}
 	if err != nil {
-		x.recordFailure(backend, answer.Broken(err))
+		x.recordFailure(backend, answer.BodyError(err))
 		return Report{}, false
 	}
 	x.recordRun(answer.Sent)
--- a/internal/gatewaynode/relay/relay.go
+++ b/internal/gatewaynode/relay/relay.go
@@ -81,7 +81,7 @@
 		attempt.Address, attempt.Purpose = peer.Address, upstream.PurposePeer
 		// Calls are relayed rarely, and a kept connection may have fallen silent: the call
 		// would wait on it until its caller has no time left for another node.
-		attempt.Fresh = true
+		attempt.NewConnection = true
 		answer, err := r.config.Client.Do(ctx, &attempt)
 		if err != nil {
 			r.note(call, peer, err.Error())
--- a/internal/gatewaynode/upstream/body.go
+++ b/internal/gatewaynode/upstream/body.go
@@ -44,7 +44,7 @@
 		return
 	}
 	if b.sawSurplus || !finished(b.written) {
-		b.client.drop(b.conn, OpenCut)
+		b.client.drop(b.conn, OpenAborted)
 		return
 	}
 	b.client.recycle(b.conn, b.response)
@@ -73,7 +73,7 @@
 	}
 	b.done = true
 	b.release()
-	b.client.drop(b.conn, OpenCut)
+	b.client.drop(b.conn, OpenAborted)
 	return nil
 }
 
--- a/internal/gatewaynode/upstream/connections.go
+++ b/internal/gatewaynode/upstream/connections.go
@@ -33,10 +33,10 @@
 	OpenExpired OpenCause = "expired"
 	// OpenClosed means that the back end closed an earlier connection or announced to.
 	OpenClosed OpenCause = "closed"
-	// OpenCut means that an earlier connection was closed by a cancelled or failed call.
-	OpenCut OpenCause = "cut"
-	// OpenFresh means that Call.Fresh was set.
-	OpenFresh OpenCause = "fresh"
+	// OpenAborted means that an earlier connection was closed by a cancelled or failed call.
+	OpenAborted OpenCause = "cut"
+	// OpenForced means that Call.Fresh was set.
+	OpenForced OpenCause = "fresh"
 )
 
 // Opening describes a new connection.
@@ -137,7 +137,7 @@
 // connect returns an idle connection for a call, or opens one.
 func (c *Client) connect(ctx context.Context, call *Call) (*connection, error) {
 	id := Peer{Address: call.Address, Instance: call.Instance}
-	if !call.Fresh {
+	if !call.NewConnection {
 		if conn := c.takeIdle(id, call.ProvenSince); conn != nil {
 			return conn, nil
 		}
@@ -158,7 +158,7 @@
 func (c *Client) opened(call *Call, id Peer, took time.Duration) {
 	c.mu.Lock()
 	held := c.of(id)
-	cause := held.cause(call.Fresh)
+	cause := held.cause(call.NewConnection)
 	held.busy++
 	c.mu.Unlock()
 	if c.config.OnOpen != nil {
@@ -171,7 +171,7 @@
 	last := len(p.lost) - 1
 	switch {
 	case fresh:
-		return OpenFresh
+		return OpenForced
 	case last >= 0:
 		lost := p.lost[last]
 		p.lost = p.lost[:last]
@@ -221,7 +221,7 @@
 // the back end stated, see idleMargin.
 func (c *Client) idleLimit(conn *connection) time.Duration {
 	if conn.keep == 0 {
-		return c.config.IdleMost
+		return c.config.IdleTimeout
 	}
 	return max(conn.keep-idleMargin, conn.keep/2)
 }
@@ -243,7 +243,7 @@
 // call.
 func (c *Client) giveBack(conn *connection) {
 	if err := expireNever(conn); err != nil {
-		c.drop(conn, OpenCut)
+		c.drop(conn, OpenAborted)
 		return
 	}
 	if conn.idleSince.IsZero() {
@@ -285,7 +285,7 @@
 			continue
 		}
 		conn.ended = true
-		held.recordLost(OpenCut)
+		held.recordLost(OpenAborted)
 		_ = conn.Close()
 	}
 	held.idle = rest
--- a/internal/gatewaynode/upstream/connections_test.go
+++ b/internal/gatewaynode/upstream/connections_test.go
@@ -50,7 +50,7 @@
 }
 
 func call(ctx context.Context, client *Client, fresh bool) error {
-	answer, err := client.Do(ctx, &Call{ID: "a", Method: http.MethodGet, Target: "/", Address: "b:1", Instance: "i", Fresh: fresh})
+	answer, err := client.Do(ctx, &Call{ID: "a", Method: http.MethodGet, Target: "/", Address: "b:1", Instance: "i", NewConnection: fresh})
 	if err != nil {
 		return err
 	}
@@ -95,11 +95,11 @@
 			go func() { _ = call(ctx, client, false) }()
 			time.Sleep(time.Millisecond)
 			_ = call(ctx, client, false)
-		}, []OpenCause{OpenFirst, OpenCut, OpenBusy}},
+		}, []OpenCause{OpenFirst, OpenAborted, OpenBusy}},
 		{"call with Fresh", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			_ = call(ctx, client, true)
-		}, []OpenCause{OpenFirst, OpenFresh}},
+		}, []OpenCause{OpenFirst, OpenForced}},
 		{"call after the state of the peer was removed", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			client.Sweep(func(string, string) bool { return false })
--- a/internal/gatewaynode/upstream/trace.go
+++ b/internal/gatewaynode/upstream/trace.go
@@ -74,6 +74,6 @@
 	}
 	return c.config.Observer.Begin(call, func() {
 		conn.cut.Store(true)
-		c.drop(conn, OpenCut)
+		c.drop(conn, OpenAborted)
 	})
 }
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -71,8 +71,8 @@
 	// Resume continues a stream after the event with the number ResumeAfter.
 	Resume      bool
 	ResumeAfter int64
-	// Fresh forces a new connection.
-	Fresh bool
+	// NewConnection forces a new connection.
+	NewConnection bool
 	// Purpose labels the call in metrics of connections.
 	Purpose Purpose
 	// ProvenSince, if set, excludes idle connections without an answer since that time.
@@ -214,9 +214,9 @@
 	Codec Codec
 	// DialTimeout bounds the opening of a connection; 0 means one second.
 	DialTimeout time.Duration
-	// IdleMost is the idle timeout of connections for which the back end states none; 0
+	// IdleTimeout is the idle timeout of connections for which the back end states none; 0
 	// means four seconds.
-	IdleMost time.Duration
+	IdleTimeout time.Duration
 	// Dialer opens connections; nil means a net.Dialer. Tests replace it.
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 	// OnOpen, if not nil, is called for each new connection.
@@ -259,8 +259,8 @@
 	if config.DialTimeout == 0 {
 		config.DialTimeout = defaultDialTimeout
 	}
-	if config.IdleMost == 0 {
-		config.IdleMost = defaultIdle
+	if config.IdleTimeout == 0 {
+		config.IdleTimeout = defaultIdle
 	}
 	if config.Dialer == nil {
 		dialer := &net.Dialer{KeepAlive: -1}
@@ -281,8 +281,8 @@
 	Body   io.ReadCloser
 }
 
-// Broken returns the Error of a call whose answer is incomplete or malformed.
-func (a *Answer) Broken(cause error) *Error {
+// BodyError returns the Error of a call whose answer is incomplete or malformed.
+func (a *Answer) BodyError(cause error) *Error {
 	return &Error{Fate: Unknown, Cause: cause, Sent: a.Sent, After: time.Since(a.Sent), End: EndMalformed, Receipt: ReceiptComplete, Heard: true}
 }
 
@@ -299,7 +299,7 @@
 		return nil, &Error{Fate: NotSent, Cause: err}
 	}
 	if err := expire(conn, call.Until); err != nil {
-		c.drop(conn, OpenCut)
+		c.drop(conn, OpenAborted)
 		return nil, &Error{Fate: NotSent, Cause: err}
 	}
 	if err := c.admit(call); err != nil {
@@ -307,7 +307,7 @@
 		return nil, &Error{Fate: NotSent, Cause: err, Withheld: true}
 	}
 	trace := c.begin(call, conn)
-	release := context.AfterFunc(ctx, func() { c.drop(conn, OpenCut) })
+	release := context.AfterFunc(ctx, func() { c.drop(conn, OpenAborted) })
 	sent := time.Now()
 	answer, failure := c.exchange(conn, call, release)
 	if failure == nil {
@@ -325,7 +325,7 @@
 	trace.End(failure.End, failure.Status)
 	if !failure.kept {
 		release()
-		c.drop(conn, OpenCut)
+		c.drop(conn, OpenAborted)
 	}
 	if ctx.Err() != nil && failure.Fate == Unknown {
 		failure.Cause = ctx.Err()
