--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -127,8 +127,8 @@
 	used  map[string]usage
 	world *eligibility.Snapshot
 	// given counts, by backend ID, the requests that were assigned in this or an earlier
-	// round and have not been sent yet. eligibility.Snapshot.Turns does not count them, so
-	// turnsLeft subtracts them.
+	// round and have not been sent yet. eligibility.Snapshot.ColdRequestsLeft does not count
+	// them, so turnsLeft subtracts them.
 	given map[string]int
 	// demands holds the remaining work of each job.
 	demands map[*ownedJob]*demand
