--- a/internal/gatewaynode/batch/move.go
+++ b/internal/gatewaynode/batch/move.go
@@ -89,13 +89,13 @@
 		if b.Memory.ExpectedUtilization(want.expected) > 1 || b.Failures > 0 || b.Cold(now) {
 			continue
 		}
-		if b.Pace == 0 || now.Sub(b.PaceAt) > paceMemory || float64(slow) < ratio*float64(b.SettledPace()) {
+		if b.Pace == 0 || now.Sub(b.PaceAt) > paceMemory || float64(slow) < ratio*float64(b.SmoothedPaceOrPace()) {
 			continue
 		}
-		if !worthMoving(slow, b.SettledPace(), want.left) {
+		if !worthMoving(slow, b.SmoothedPaceOrPace(), want.left) {
 			continue
 		}
-		if (best < 0 || b.SettledPace() < pool[best].SettledPace()) && suits(b, want, world) {
+		if (best < 0 || b.SmoothedPaceOrPace() < pool[best].SmoothedPaceOrPace()) && suits(b, want, world) {
 			best = i
 		}
 	}
@@ -108,14 +108,14 @@
 // expected to run on for long, so it is also moved from a slightly slower backend, provided
 // that the lifetime pace of the backend is slower too.
 func slowFor(from *fleet.Backend, want need, typical time.Duration) (slow time.Duration, ratio float64) {
-	slow = min(from.Pace, from.SettledPace())
+	slow = min(from.Pace, from.SmoothedPaceOrPace())
 	if float64(slow) >= moveRatio*float64(typical) {
 		return slow, moveRatio
 	}
-	if want.ran <= longRun || !from.Lasting.Known() {
+	if want.ran <= longRun || !from.LifetimePace.Known() {
 		return 0, 0
 	}
-	if slow = min(slow, from.Lasting.Pace); float64(slow) >= moveRatioLong*float64(typical) {
+	if slow = min(slow, from.LifetimePace.Pace); float64(slow) >= moveRatioLong*float64(typical) {
 		return slow, moveRatioLong
 	}
 	return 0, 0
--- a/internal/gatewaynode/batch/pace.go
+++ b/internal/gatewaynode/batch/pace.go
@@ -59,8 +59,8 @@
 	switch {
 	case backend.Pace > 0 && now.Sub(backend.PaceAt) <= paceMemory:
 		return backend.Pace
-	case backend.Lasting.Known():
-		return backend.Lasting.Pace
+	case backend.LifetimePace.Known():
+		return backend.LifetimePace.Pace
 	}
 	return 0
 }
--- a/internal/gatewaynode/batch/patience_test.go
+++ b/internal/gatewaynode/batch/patience_test.go
@@ -122,11 +122,11 @@
 func TestLifetimePaceReplacesOutdatedPace(t *testing.T) {
 	slow := backend("slow", func(b *fleet.Backend) {
 		b.Pace, b.PaceAt = 60*time.Millisecond, placeNow.Add(-time.Minute)
-		b.Lasting = fleet.LastingPace{Pace: 60 * time.Millisecond, Count: 50}
+		b.LifetimePace = fleet.LifetimePace{Pace: 60 * time.Millisecond, Count: 50}
 	})
 	recovered := backend("recovered", func(b *fleet.Backend) {
 		b.Pace, b.PaceAt = 60*time.Millisecond, placeNow.Add(-time.Minute)
-		b.Lasting = fleet.LastingPace{Pace: 40 * time.Millisecond, Count: 50}
+		b.LifetimePace = fleet.LifetimePace{Pace: 40 * time.Millisecond, Count: 50}
 	})
 	pool := []fleet.Backend{slow, recovered}
 	if got := pickBackend(pool, need{Request: weightsOf("m", 3)}, typicalPace(pool, placeNow), placeWorld); got != 1 {
--- a/internal/gatewaynode/batch/place_test.go
+++ b/internal/gatewaynode/batch/place_test.go
@@ -75,8 +75,8 @@
 // than typical over its lifetime, and that other items stay.
 func TestLongRunsMoveAtLowerRatio(t *testing.T) {
 	const third = 52 * time.Millisecond
-	forGood := fleet.LastingPace{Pace: third, Count: 100}
-	pool := []fleet.Backend{backend("slow", func(b *fleet.Backend) { b.Pace, b.Lasting = third, forGood }), backend("fast", nil)}
+	forGood := fleet.LifetimePace{Pace: third, Count: 100}
+	pool := []fleet.Backend{backend("slow", func(b *fleet.Backend) { b.Pace, b.LifetimePace = third, forGood }), backend("fast", nil)}
 	want := need{Request: weightsOf("m", 3)}
 	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeWorld); got >= 0 {
 		t.Error("short run was moved from a backend that is 30% slower")
@@ -85,7 +85,7 @@
 	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeWorld); got != 1 {
 		t.Error("long run was not moved from a backend that is 30% slower")
 	}
-	pool[0].Lasting.Pace = 40 * time.Millisecond
+	pool[0].LifetimePace.Pace = 40 * time.Millisecond
 	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeWorld); got >= 0 {
 		t.Error("long run was moved from a backend that is 30% slower only at present")
 	}
--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -61,11 +61,11 @@
 	Pace time.Duration
 	// PaceAt is when the pace was last measured.
 	PaceAt time.Time
-	// Settled is the same average over settledWindow. It evens out the short slow phases
+	// SmoothedPace is the same average over settledWindow. It evens out the short slow phases
 	// of an instance that shares its machine with other processes.
-	Settled time.Duration
-	// Lasting is the average over the lifetime of the instance.
-	Lasting LastingPace
+	SmoothedPace time.Duration
+	// LifetimePace is the average over the lifetime of the instance.
+	LifetimePace LifetimePace
 	// Failures counts consecutive failures.
 	Failures int
 	// SuspendedUntil is until when the instance gets requests only if no other can.
@@ -128,12 +128,12 @@
 	Reach  Reach
 }
 
-// SettledPace returns Settled, or Pace if Settled is unknown; 0 if both are.
-func (c Condition) SettledPace() time.Duration {
-	if c.Settled == 0 {
+// SmoothedPaceOrPace returns Settled, or Pace if Settled is unknown; 0 if both are.
+func (c Condition) SmoothedPaceOrPace() time.Duration {
+	if c.SmoothedPace == 0 {
 		return c.Pace
 	}
-	return c.Settled
+	return c.SmoothedPace
 }
 
 // Cold reports whether the back end is assumed to be cold.
--- a/internal/gatewaynode/fleet/lasting.go
+++ b/internal/gatewaynode/fleet/lasting.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// LastingPace is the average pace of an instance over its lifetime. It shows permanent
+// LifetimePace is the average pace of an instance over its lifetime. It shows permanent
 // differences between the instances of a service, also after a time without traffic.
-type LastingPace struct {
+type LifetimePace struct {
 	Pace time.Duration
 	// Count is the number of measurements, which are at least paceWindow apart.
 	Count int
@@ -24,7 +24,7 @@
 
 // observe returns l updated by a measurement. It ignores one that follows the last within
 // paceWindow.
-func (l LastingPace) observe(pace time.Duration, now time.Time) LastingPace {
+func (l LifetimePace) observe(pace time.Duration, now time.Time) LifetimePace {
 	if l.Count > 0 && now.Sub(l.At) < paceWindow {
 		return l
 	}
@@ -42,4 +42,4 @@
 }
 
 // Known reports whether there are enough measurements to use the average.
-func (l LastingPace) Known() bool { return l.Count >= lastingLeast }
+func (l LifetimePace) Known() bool { return l.Count >= lastingLeast }
--- a/internal/gatewaynode/fleet/lasting_test.go
+++ b/internal/gatewaynode/fleet/lasting_test.go
@@ -8,7 +8,7 @@
 func TestLastingPace(t *testing.T) {
 	const usual = 40 * time.Millisecond
 	now := time.Unix(1000, 0)
-	var lasting LastingPace
+	var lasting LifetimePace
 	observe := func(pace time.Duration, seconds float64) {
 		for range int(seconds / paceWindow.Seconds()) {
 			now = now.Add(paceWindow)
--- a/internal/gatewaynode/fleet/observe.go
+++ b/internal/gatewaynode/fleet/observe.go
@@ -61,9 +61,9 @@
 	f.with(id, func(c *Condition) {
 		since := now.Sub(c.PaceAt)
 		c.Pace = paceAverage(c.Pace, gap, since, paceWindow)
-		c.Settled = paceAverage(c.Settled, gap, since, settledWindow)
+		c.SmoothedPace = paceAverage(c.SmoothedPace, gap, since, settledWindow)
 		c.PaceAt = now
-		c.Lasting = c.Lasting.observe(c.Pace, now)
+		c.LifetimePace = c.LifetimePace.observe(c.Pace, now)
 		c.Failures = 0
 	})
 }
