--- a/internal/gatewaynode/batch/checkpoint.go
+++ b/internal/gatewaynode/batch/checkpoint.go
@@ -73,11 +73,11 @@
 	limits := r.manager.config.Limits
 	var segments []segment
 	size := 0
-	for _, i := range job.unsaved(age) {
+	for _, i := range job.unsavedItems(age) {
 		item := &job.items[i]
 		count := len(item.text.events)
 		complete := item.text.complete
-		value := encode(partialRow{Events: item.text.events[item.saved:count], Versions: item.text.versions[item.saved:count], Whole: complete})
+		value := encode(partialRow{Events: item.text.events[item.savedEvents:count], Versions: item.text.versions[item.savedEvents:count], Whole: complete})
 		if len(value) > limits.RowBytes {
 			continue
 		}
@@ -85,36 +85,36 @@
 			break
 		}
 		size += len(value)
-		id := partialID(job.id, i, fmt.Sprintf("%d.%d", job.head.Epoch, item.sequence), item.saved)
-		segments = append(segments, segment{item: i, from: item.saved, upTo: count, sequence: item.sequence, complete: complete, row: rowstore.Row{RowID: id, Value: value}})
+		id := partialID(job.id, i, fmt.Sprintf("%d.%d", job.head.Epoch, item.sequence), item.savedEvents)
+		segments = append(segments, segment{item: i, from: item.savedEvents, upTo: count, sequence: item.sequence, complete: complete, row: rowstore.Row{RowID: id, Value: value}})
 	}
 	return segments
 }
 
-// unsaved reports whether the item has output to store. Output of items whose first run
+// hasUnsaved reports whether the item has output to store. Output of items whose first run
 // started less than age ago is left out, unless it is complete: the scoring call may take
 // long, and complete output need not be generated again.
-func (i *itemState) unsaved(age time.Duration) bool {
+func (i *itemState) hasUnsaved(age time.Duration) bool {
 	switch {
 	case i.phase == phaseFinished:
 		return false
 	case i.text.complete:
 		return !i.savedComplete
 	default:
-		return len(i.text.events) > i.saved && time.Since(i.firstStart) >= age
+		return len(i.text.events) > i.savedEvents && time.Since(i.firstStart) >= age
 	}
 }
 
-// unsaved returns the indices of the items with output to store, those with the most
-// unsaved events first.
-func (j *ownedJob) unsaved(age time.Duration) []int {
+// unsavedItems returns the indices of the items with output to store, those with the most
+// unsavedItems events first.
+func (j *ownedJob) unsavedItems(age time.Duration) []int {
 	var found []int
 	for i := range j.items {
-		if j.items[i].unsaved(age) {
+		if j.items[i].hasUnsaved(age) {
 			found = append(found, i)
 		}
 	}
-	unsavedEvents := func(i int) int { return len(j.items[i].text.events) - j.items[i].saved }
+	unsavedEvents := func(i int) int { return len(j.items[i].text.events) - j.items[i].savedEvents }
 	slices.SortStableFunc(found, func(a, b int) int { return cmp.Compare(unsavedEvents(b), unsavedEvents(a)) })
 	return found
 }
@@ -133,8 +133,8 @@
 	defer r.mu.Unlock()
 	for _, segment := range segments {
 		item := &job.items[segment.item]
-		if item.sequence == segment.sequence && item.saved == segment.from {
-			item.saved, item.savedComplete = segment.upTo, segment.complete
+		if item.sequence == segment.sequence && item.savedEvents == segment.from {
+			item.savedEvents, item.savedComplete = segment.upTo, segment.complete
 		}
 	}
 	return true
--- a/internal/gatewaynode/batch/checkpoint_test.go
+++ b/internal/gatewaynode/batch/checkpoint_test.go
@@ -16,7 +16,7 @@
 func checkpointed(rows *rowstoretest.Store, made ...int) (*runner, *ownedJob) {
 	m := &Manager{config: Config{Store: rows, Limits: rowstore.Limits{RowBytes: 1 << 10, TransactionRows: 4}, Routes: func() *routetable.Table { return nil }}}
 	r := newRunner(m)
-	job := &ownedJob{id: "job", ready: true, left: len(made), items: make([]itemState, len(made))}
+	job := &ownedJob{id: "job", ready: true, unfinished: len(made), items: make([]itemState, len(made))}
 	for i, events := range made {
 		item := &job.items[i]
 		item.phase, item.firstStart = phaseRunning, time.Now().Add(-time.Hour)
@@ -44,8 +44,8 @@
 	r, job := checkpointed(rows, 1, 9, 3, 0, 7, 2, 2, 5)
 	r.storeCheckpoint(context.Background(), job, r.unsavedSegments(job, 0))
 	for i := range job.items {
-		if item := &job.items[i]; item.saved != len(item.text.events) {
-			t.Errorf("item %d: %d of %d events stored", i, item.saved, len(item.text.events))
+		if item := &job.items[i]; item.savedEvents != len(item.text.events) {
+			t.Errorf("item %d: %d of %d events stored", i, item.savedEvents, len(item.text.events))
 		}
 	}
 	stored := decodePartials(rows.Rows(TablePartials))
--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -61,7 +61,7 @@
 func (r *runner) awaitHold(job *ownedJob) {
 	for {
 		r.mu.Lock()
-		left := job.holdLeft(r.route(job.spec), &r.lengths, time.Now())
+		left := job.remainingHold(r.route(job.spec), &r.lengths, time.Now())
 		r.mu.Unlock()
 		if left <= 0 {
 			return
@@ -76,7 +76,7 @@
 	}
 }
 
-// holdLeft returns for how much longer the uncommitted results may be held back.
+// remainingHold returns for how much longer the uncommitted results may be held back.
 //
 // A caller that waits for a number of complete groups reads about twice a second. A read
 // without new results stays pending and returns the next commit at once, whereas a read
@@ -87,8 +87,8 @@
 // within maxTailHold, holdUntilEnd applies.
 //
 // The caller holds runner.mu.
-func (j *ownedJob) holdLeft(route *routetable.Route, known *lengths, now time.Time) clock.Millis {
-	if len(j.finished) == 0 || j.left == 0 || j.ctx.Err() != nil || j.groups.reached() {
+func (j *ownedJob) remainingHold(route *routetable.Route, known *lengths, now time.Time) clock.Millis {
+	if len(j.finished) == 0 || j.unfinished == 0 || j.ctx.Err() != nil || j.groups.reached() {
 		return 0
 	}
 	left := j.dueRemaining(route, now)
--- a/internal/gatewaynode/batch/finish.go
+++ b/internal/gatewaynode/batch/finish.go
@@ -18,12 +18,12 @@
 		job.scoring = slices.DeleteFunc(job.scoring, func(i int) bool { return i == index })
 	}
 	item.phase = phaseFinished
-	job.left--
+	job.unfinished--
 	result := Result{ID: job.spec.Items[index].ID, State: state}
 	if state == Completed {
 		result.Text, result.Versions = item.text.join()
 		result.Score = item.text.score
-		r.keep(job, result.ID, item.text)
+		r.keepText(job, result.ID, item.text)
 	}
 	item.text = text{}
 	job.finished = append(job.finished, finishedItem{result: result, at: clock.Now()})
@@ -31,11 +31,11 @@
 	job.wakeCommit()
 }
 
-// keep retains the output of an item for later jobs if the job is allowed in this node's
+// keepText retains the output of an item for later jobs if the job is allowed in this node's
 // region. The caller holds r.mu.
-func (r *runner) keep(job *ownedJob, item string, made text) {
+func (r *runner) keepText(job *ownedJob, item string, made text) {
 	if r.manager.allowedHere(job.origin) {
-		r.kept.put(item, made, job.origin.kind())
+		r.kept.put(item, made, job.origin.residency())
 	}
 }
 
@@ -60,7 +60,7 @@
 	for i := range job.items {
 		item := &job.items[i]
 		if item.phase != phaseFinished && len(item.text.events) > 0 {
-			r.keep(job, job.spec.Items[i].ID, item.text)
+			r.keepText(job, job.spec.Items[i].ID, item.text)
 		}
 	}
 	job.cancel()
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, job := range r.jobs {
-		if !job.ready || job.left == 0 {
+		if !job.ready || job.unfinished == 0 {
 			continue
 		}
 		route := r.route(job.spec)
--- a/internal/gatewaynode/batch/groups_test.go
+++ b/internal/gatewaynode/batch/groups_test.go
@@ -25,26 +25,26 @@
 		route *routetable.Route
 		want  clock.Millis
 	}{
-		{"no finished items", ownedJob{left: 3, groups: few}, nil, 0},
-		{"too few groups are whole", ownedJob{left: 3, groups: few, finished: finished(100)}, nil, maxHold - 100},
-		{"held for the maximum time", ownedJob{left: 3, groups: few, finished: finished(maxHold)}, nil, 0},
-		{"enough groups are whole", ownedJob{left: 3, groups: enough, finished: finished(0)}, nil, 0},
-		{"no wanted groups", ownedJob{left: 3, finished: finished(0)}, nil, 0},
+		{"no finished items", ownedJob{unfinished: 3, groups: few}, nil, 0},
+		{"too few groups are whole", ownedJob{unfinished: 3, groups: few, finished: finished(100)}, nil, maxHold - 100},
+		{"held for the maximum time", ownedJob{unfinished: 3, groups: few, finished: finished(maxHold)}, nil, 0},
+		{"enough groups are whole", ownedJob{unfinished: 3, groups: enough, finished: finished(0)}, nil, 0},
+		{"no wanted groups", ownedJob{unfinished: 3, finished: finished(0)}, nil, 0},
 		{"no items left", ownedJob{groups: few, finished: finished(0)}, nil, 0},
-		{"job is closed", ownedJob{left: 3, ctx: ctx, groups: few, finished: finished(0)}, nil, 0},
-		{"due later", ownedJob{left: 3, head: submitted(time.Second), groups: few, finished: finished(0)}, due, maxHold},
-		{"due soon", ownedJob{left: 3, head: submitted(6900 * time.Millisecond), groups: few, finished: finished(0)}, due, 100},
-		{"few groups are missing", ownedJob{left: 3, groups: groups{wanted: 10, whole: 8}, finished: finished(500)}, nil, maxTailHold - 500},
-		{"carried groups are missing", ownedJob{left: 3, groups: groups{wanted: 2, whole: 2, carriedLeft: 1}, finished: finished(0)}, nil, maxTailHold},
-		{"long past due", ownedJob{left: 3, head: submitted(9 * time.Second), groups: few, finished: finished(100)}, due, maxHold - 100},
-		{"just past due", ownedJob{left: 3, head: submitted(7100 * time.Millisecond), groups: few, finished: finished(0)}, due, -100},
-		{"held text exceeds maxHeldBytes", ownedJob{left: 3, groups: few, finished: []finishedItem{{at: moment, result: Result{Text: strings.Repeat(".", maxHeldBytes+1)}}}}, nil, 0},
+		{"job is closed", ownedJob{unfinished: 3, ctx: ctx, groups: few, finished: finished(0)}, nil, 0},
+		{"due later", ownedJob{unfinished: 3, head: submitted(time.Second), groups: few, finished: finished(0)}, due, maxHold},
+		{"due soon", ownedJob{unfinished: 3, head: submitted(6900 * time.Millisecond), groups: few, finished: finished(0)}, due, 100},
+		{"few groups are missing", ownedJob{unfinished: 3, groups: groups{wanted: 10, whole: 8}, finished: finished(500)}, nil, maxTailHold - 500},
+		{"carried groups are missing", ownedJob{unfinished: 3, groups: groups{wanted: 2, whole: 2, carriedLeft: 1}, finished: finished(0)}, nil, maxTailHold},
+		{"long past due", ownedJob{unfinished: 3, head: submitted(9 * time.Second), groups: few, finished: finished(100)}, due, maxHold - 100},
+		{"just past due", ownedJob{unfinished: 3, head: submitted(7100 * time.Millisecond), groups: few, finished: finished(0)}, due, -100},
+		{"held text exceeds maxHeldBytes", ownedJob{unfinished: 3, groups: few, finished: []finishedItem{{at: moment, result: Result{Text: strings.Repeat(".", maxHeldBytes+1)}}}}, nil, 0},
 	}
 	for _, test := range cases {
 		if test.job.ctx == nil {
 			test.job.ctx = context.Background()
 		}
-		if got := test.job.holdLeft(test.route, &lengths{}, now); got != test.want && got != test.want-1 {
+		if got := test.job.remainingHold(test.route, &lengths{}, now); got != test.want && got != test.want-1 {
 			t.Errorf("%s: holdLeft = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
@@ -88,10 +88,10 @@
 	}
 	for _, test := range cases {
 		job := ownedJob{
-			left: 3, ctx: context.Background(), spec: spec, items: test.items, groups: groups{wanted: 9, whole: 1},
+			unfinished: 3, ctx: context.Background(), spec: spec, items: test.items, groups: groups{wanted: 9, whole: 1},
 			finished: []finishedItem{{at: clock.At(now) - held}}, head: Head{SubmittedMillis: now.Add(-test.age).UnixMilli()},
 		}
-		if got := job.holdLeft(due, test.known, now); got < test.want-2 || got > test.want {
+		if got := job.remainingHold(due, test.known, now); got < test.want-2 || got > test.want {
 			t.Errorf("%s: holdLeft = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
--- a/internal/gatewaynode/batch/held.go
+++ b/internal/gatewaynode/batch/held.go
@@ -7,40 +7,40 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/eventlog"
 )
 
-// heldEvery is the minimum interval between log entries about the held items of a job.
-const heldEvery = time.Second
+// heldLogInterval is the minimum interval between log entries about the held items of a job.
+const heldLogInterval = time.Second
 
 // noteHeld logs why no backend is eligible for an item. It logs nothing if one is eligible and
 // merely has no room. The caller holds r.mu.
-func (r *runner) noteHeld(c candidate, pool *pool, want need, p *pools) {
-	if p.now.Sub(c.job.heldSaid) < heldEvery {
+func (r *runner) noteHeld(c candidate, pool *serviceBackends, want need, p *schedulingRound) {
+	if p.now.Sub(c.job.heldLoggedAt) < heldLogInterval {
 		return
 	}
 	survey := p.world.Survey(pool.backends, want.Request)
 	if survey.Eligible > 0 {
 		return
 	}
-	c.job.heldSaid = p.now
+	c.job.heldLoggedAt = p.now
 	r.manager.config.Log.Warn(eventlog.JobHeld, eventlog.Fields{
 		eventlog.Job: c.job.id, eventlog.Item: c.job.spec.Items[c.index].ID, eventlog.Reasons: survey.Reasons,
-		"room_in_ms": survey.ColdWait.Milliseconds(), "left": c.job.left,
+		"room_in_ms": survey.ColdWait.Milliseconds(), "left": c.job.unfinished,
 	})
 }
 
 // noteQuarantined logs that an item is held because backends crashed while running the same
 // work, and requests a trial run if one is allowed. The caller holds r.mu.
-func (r *runner) noteQuarantined(job *ownedJob, index int, p *pools) {
+func (r *runner) noteQuarantined(job *ownedJob, index int, p *schedulingRound) {
 	if r.manager.config.Trials.MayTry(job.items[index].work) {
 		go r.askTrial(job, index)
 	}
-	if p.now.Sub(job.heldSaid) < heldEvery {
+	if p.now.Sub(job.heldLoggedAt) < heldLogInterval {
 		return
 	}
-	job.heldSaid = p.now
+	job.heldLoggedAt = p.now
 	work := job.items[index].work
 	r.manager.config.Log.Warn(eventlog.JobHeld, eventlog.Fields{
 		eventlog.Job: job.id, eventlog.Item: job.spec.Items[index].ID, eventlog.Work: work.String(),
-		eventlog.Reasons: map[string]int{eligibility.LabelQuarantined: p.world.QuarantineFailures(work)}, "left": job.left,
+		eventlog.Reasons: map[string]int{eligibility.LabelQuarantined: p.world.QuarantineFailures(work)}, "left": job.unfinished,
 	})
 }
 
--- a/internal/gatewaynode/batch/lengths.go
+++ b/internal/gatewaynode/batch/lengths.go
@@ -40,7 +40,7 @@
 // the given number of slots.
 func (l *lengths) wait(before, slots int) time.Duration {
 	if slots == 0 {
-		return never
+		return unboundedWait
 	}
 	if l.count == 0 {
 		return 0
@@ -48,8 +48,8 @@
 	return time.Duration(l.took / l.count * float64(before+1) / float64(slots))
 }
 
-// never is the waiting time if there are no slots. It exceeds any other.
-const never = 24 * time.Hour
+// unboundedWait is the waiting time if there are no slots. It exceeds any other.
+const unboundedWait = 24 * time.Hour
 
 // longestLeft returns the remaining duration of an item with made events if it becomes as long
 // as the longest ended item of its model. It returns false if no item of the model has ended
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -105,8 +105,8 @@
 	runner *runner
 	// confinements are the region restrictions of the current configuration.
 	confinements confinements
-	// lastForget is the configuration for which forget ran last.
-	lastForget atomic.Pointer[routetable.Table]
+	// lastDropConfig is the configuration for which forget ran last.
+	lastDropConfig atomic.Pointer[routetable.Table]
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
--- a/internal/gatewaynode/batch/memory.go
+++ b/internal/gatewaynode/batch/memory.go
@@ -17,8 +17,8 @@
 	// memorySlowdown is the slowdown per multiple of a backend's memory by which the expected
 	// usage exceeds memoryFree.
 	memorySlowdown = 2.0
-	// memoryMost is the maximum share of a backend's memory in use after the start of a run.
-	memoryMost = 0.9
+	// maxMemoryShare is the maximum share of a backend's memory in use after the start of a run.
+	maxMemoryShare = 0.9
 	// tokenStep is the multiple to which the tokens of an item are rounded up, so that items
 	// of similar size have the same need.
 	tokenStep = 1024
@@ -117,7 +117,7 @@
 // backend without other runs accepts any item, so that one larger than the memory of every
 // backend still starts.
 func hasMemory(b *fleet.Backend, held int) bool {
-	return b.Memory.Held == 0 || b.Memory.Utilization(held) <= memoryMost
+	return b.Memory.Held == 0 || b.Memory.Utilization(held) <= maxMemoryShare
 }
 
 // takeMemory accounts for the memory of an item that was assigned to b.
--- a/internal/gatewaynode/batch/move.go
+++ b/internal/gatewaynode/batch/move.go
@@ -32,7 +32,7 @@
 
 // moveItem cancels a run on a slow backend if a much faster one has room, and reserves a slot
 // there. The item resumes there after its last event. The caller holds r.mu.
-func (r *runner) moveItem(c candidate, p *pools) {
+func (r *runner) moveItem(c candidate, p *schedulingRound) {
 	item := &c.job.items[c.index]
 	pool := p.of(c.route, c.index)
 	want := r.needOf(c, pool)
@@ -47,7 +47,7 @@
 		return
 	}
 	b := &pool.backends[target]
-	p.give(b)
+	p.assign(b)
 	takeMemory(b, want)
 	item.moved = p.now
 	item.avoid = item.backend
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -25,8 +25,8 @@
 	actOpen
 	actClose
 	actTakeOver
-	// actLeave hands over a job that is no longer allowed in this node's region.
-	actLeave
+	// actLeaveRegion hands over a job that is no longer allowed in this node's region.
+	actLeaveRegion
 )
 
 // ownershipState is the input of decide for one job.
@@ -60,7 +60,7 @@
 	case s.owned && s.disallowedHere && (s.changingOwner || s.leftRecently && !s.running):
 		return actNothing
 	case s.owned && s.disallowedHere:
-		return actLeave
+		return actLeaveRegion
 	case s.owned && !s.running:
 		return actOpen
 	case s.owned || s.disallowedHere || s.changingOwner || s.owner != presence.Gone || s.rank < 0:
@@ -79,8 +79,8 @@
 		act action
 	}
 	var tasks []task
-	if table := m.config.Routes(); table != m.lastForget.Swap(table) {
-		m.forget()
+	if table := m.config.Routes(); table != m.lastDropConfig.Swap(table) {
+		m.dropDisallowed()
 	}
 	m.mu.Lock()
 	members := sync.OnceValue(func() *presence.Members { return m.config.Presence.Members(now) })
@@ -94,7 +94,7 @@
 		if current.known && !current.finished {
 			regions := m.regionsOf(state.head)
 			current.disallowedHere = !regions.Has(m.self.Region)
-			current.leftRecently = now.Sub(state.leftAt) < leaveRest
+			current.leftRecently = now.Sub(state.leftAt) < minLeaveInterval
 			if !current.owned {
 				m.assessOwner(state, &current, regions, members, now)
 			} else if !current.disallowedHere {
@@ -102,7 +102,7 @@
 			}
 		}
 		act := decide(current)
-		if act == actTakeOver || act == actLeave {
+		if act == actTakeOver || act == actLeaveRegion {
 			state.changingOwner = true
 		}
 		if act != actNothing {
@@ -144,8 +144,8 @@
 		m.runner.close(id)
 	case actTakeOver:
 		go m.takeOver(ctx, id)
-	case actLeave:
-		go m.leave(ctx, id)
+	case actLeaveRegion:
+		go m.leaveRegion(ctx, id)
 	}
 }
 
--- a/internal/gatewaynode/batch/pace.go
+++ b/internal/gatewaynode/batch/pace.go
@@ -11,8 +11,8 @@
 	// paceGaps is the number of gaps between events over which pace is averaged. Single gaps
 	// are no measure of the backend, since a busy node reads several events at once.
 	paceGaps = 8
-	// paceGapsLeast is the minimum number of gaps.
-	paceGapsLeast = 4
+	// minPaceGaps is the minimum number of gaps.
+	minPaceGaps = 4
 )
 
 // paceWindow measures the pace of a run, which is the mean time between events, over its
@@ -28,7 +28,7 @@
 	w.arrivals[w.count%len(w.arrivals)] = now
 	w.count++
 	gaps := min(w.count-1, paceGaps)
-	if gaps < paceGapsLeast {
+	if gaps < minPaceGaps {
 		return 0, false
 	}
 	first := w.arrivals[(w.count-1-gaps)%len(w.arrivals)]
@@ -36,8 +36,8 @@
 }
 
 const (
-	// usualPace is the assumed pace if no backend has a known one.
-	usualPace = 40 * time.Millisecond
+	// defaultPace is the assumed pace if no backend has a known one.
+	defaultPace = 40 * time.Millisecond
 	// paceMemory is the maximum age of a pace measurement for choosing a backend.
 	paceMemory = 8 * time.Second
 	// typicalQuantile is the quantile of the known paces that counts as typical. The minimum
@@ -75,7 +75,7 @@
 		}
 	}
 	if len(paces) == 0 {
-		return usualPace
+		return defaultPace
 	}
 	slices.Sort(paces)
 	return paces[int(typicalQuantile*float64(len(paces)))]
--- a/internal/gatewaynode/batch/patience.go
+++ b/internal/gatewaynode/batch/patience.go
@@ -26,9 +26,9 @@
 	// parallelMargin is the factor by which the concurrency exceeds the computed minimum,
 	// since lengths are known only within a factor of two.
 	parallelMargin = 2
-	// spreadMost limits the ratio of the longest remaining length to the mean, since hints
+	// maxSpread limits the ratio of the longest remaining length to the mean, since hints
 	// vary more widely than actual lengths.
-	spreadMost = 6
+	maxSpread = 6
 	// longShareLeft is the share of the longest remaining length from which an item does not
 	// wait for an idle connection.
 	longShareLeft = 0.5
@@ -37,7 +37,7 @@
 // parallel returns the number of items to run concurrently so that all of them finish by the
 // time the longest does.
 func (d demand) parallel() int {
-	longest := min(d.longest, spreadMost*d.work/max(d.left, 1))
+	longest := min(d.longest, maxSpread*d.work/max(d.left, 1))
 	if longest <= 0 {
 		return d.left
 	}
@@ -50,8 +50,8 @@
 	return d.running >= d.parallel() && float64(left) < longShareLeft*float64(d.longest)
 }
 
-// patientMost is the maximum time that a scoring call waits for an idle connection.
-const patientMost = time.Second
+// maxPatientWait is the maximum time that a scoring call waits for an idle connection.
+const maxPatientWait = time.Second
 
 // width returns the number of items to run concurrently so that, by their hints, all finish
 // by the time the longest does. It is the number of all items if one of them has no hint.
@@ -81,7 +81,7 @@
 // runs for considerably longer than the call takes. longest is the job's longest remaining
 // length, waited the time for which the call has been waiting.
 func patientScore(longest int, pace, latency, waited time.Duration) bool {
-	return time.Duration(longest)*pace > patientCalls*latency && waited < patientMost
+	return time.Duration(longest)*pace > patientCalls*latency && waited < maxPatientWait
 }
 
 // patientCalls is the number of scoring latencies for which a job must still run if one of its
--- a/internal/gatewaynode/batch/patience_test.go
+++ b/internal/gatewaynode/batch/patience_test.go
@@ -102,7 +102,7 @@
 	}{
 		{"job runs on for long", 100, 0, true},
 		{"job ends soon", 10, 0, false},
-		{"maximum wait reached", 100, patientMost, false},
+		{"maximum wait reached", 100, maxPatientWait, false},
 	} {
 		if got := patientScore(test.longest, pace, latency, test.waited); got != test.want {
 			t.Errorf("%s: patientScore = %t, want %t", test.name, got, test.want)
--- a/internal/gatewaynode/batch/place.go
+++ b/internal/gatewaynode/batch/place.go
@@ -32,9 +32,9 @@
 const (
 	// loadSlowdown applies to a full backend, and in proportion to one that is partly loaded.
 	loadSlowdown = 0.15
-	// usualEvents is the number of events of a typical item, over which the round-trip time
+	// typicalEvents is the number of events of a typical item, over which the round-trip time
 	// to the backend is spread.
-	usualEvents = 20
+	typicalEvents = 20
 	// openingSlowdown applies if a new connection is needed. It is more than loadSlowdown,
 	// so that items share backends with open connections, and less than the slowdown of a
 	// backend that is lastingly slow.
@@ -89,7 +89,7 @@
 // apply.
 func runCost(backend *fleet.Backend, want need, typical time.Duration, now time.Time) float64 {
 	cost := float64(pace(backend, typical, now)) * (1 + loadSlowdown*backend.Load()) * memoryCost(backend, want.expected)
-	cost += float64(backend.Reach.Distance.Duration()) / usualEvents
+	cost += float64(backend.Reach.Distance.Duration()) / typicalEvents
 	if backend.Reach.Idle == 0 {
 		cost *= 1 + want.opening()
 	}
--- a/internal/gatewaynode/batch/place_test.go
+++ b/internal/gatewaynode/batch/place_test.go
@@ -179,7 +179,7 @@
 			read = 24
 		}
 		pace, known := window.add(placeNow.Add(time.Duration(read) * made))
-		if known != (event >= paceGapsLeast) {
+		if known != (event >= minPaceGaps) {
 			t.Fatalf("event %d: known = %t", event, known)
 		}
 		if known && (pace < made/2 || pace > 2*made) {
@@ -197,13 +197,13 @@
 		item itemState
 		want int
 	}{
-		{"long", itemState{long: true}, behindLong},
-		{"short", itemState{short: true}, behindShort},
-		{"neither", itemState{}, behindMiddle},
-		{"marked short but long", itemState{short: true, text: events(longText)}, behindLong},
-		{"marked short and just below the limit", itemState{short: true, text: events(longText - 1)}, behindShort},
+		{"long", itemState{long: true}, offsetLong},
+		{"short", itemState{short: true}, offsetShort},
+		{"neither", itemState{}, offsetMiddle},
+		{"marked short but long", itemState{short: true, text: events(minLongEvents)}, offsetLong},
+		{"marked short and just below the limit", itemState{short: true, text: events(minLongEvents - 1)}, offsetShort},
 	} {
-		got := test.item.behind()
+		got := test.item.priorityOffset()
 		if got != test.want {
 			t.Errorf("%s: behind = %d, want %d", test.name, got, test.want)
 		}
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -28,7 +28,7 @@
 	accepted place.Regions
 }
 
-func (h Head) kind() residency {
+func (h Head) residency() residency {
 	return residency{route: h.Route, tenant: h.Tenant, accepted: place.NewRegions(h.Regions...)}
 }
 
@@ -109,12 +109,12 @@
 
 // noteWaiting records whether a job waits for a node in one of its regions. If tell is set,
 // it logs a change; only one node does so for each job. The caller holds m.mu.
-func (m *Manager) noteWaiting(state *jobState, regions place.Regions, waiting, tell bool) {
+func (m *Manager) noteWaiting(state *jobState, regions place.Regions, waiting, logChange bool) {
 	if state.waiting == waiting {
 		return
 	}
 	state.waiting = waiting
-	if !tell {
+	if !logChange {
 		return
 	}
 	event, write := eventlog.JobWaits, m.config.Log.Warn
@@ -127,35 +127,35 @@
 	})
 }
 
-// leaveMost is the timeout for handing over a job that is no longer allowed in this region.
+// leaveTimeout is the timeout for handing over a job that is no longer allowed in this region.
 // Text that is not stored by then is generated again.
-const leaveMost = 2 * time.Second
+const leaveTimeout = 2 * time.Second
 
-// leaveRest is the minimum time between two hand-overs of a job by this node. Without it, two
+// minLeaveInterval is the minimum time between two hand-overs of a job by this node. Without it, two
 // nodes with different versions of the configuration would pass the job back and forth as fast
 // as the store responds.
-const leaveRest = time.Second
+const minLeaveInterval = time.Second
 
-// leave stops the runs of a job that is no longer allowed in this node's region, hands the job
+// leaveRegion stops the runs of a job that is no longer allowed in this node's region, hands the job
 // over to a node in an allowed region, if there is one, and drops its data from memory.
-func (m *Manager) leave(ctx context.Context, id string) {
-	bounded, cancel := context.WithTimeout(ctx, leaveMost)
+func (m *Manager) leaveRegion(ctx context.Context, id string) {
+	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	state, _ := m.snapshot(id)
 	m.handOver(bounded, id)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.state(id)
-	now.changingOwner, now.leftAt = false, time.Now()
+	current := m.state(id)
+	current.changingOwner, current.leftAt = false, time.Now()
 	regions := m.regionsOf(state.head)
-	waits := now.head.Owner == m.self.Name && len(presence.KeepersWithin(m.config.Presence.Proven(time.Now()), regions)) == 0
-	m.noteWaiting(now, regions, waits, true)
+	waits := current.head.Owner == m.self.Name && len(presence.KeepersWithin(m.config.Presence.Proven(time.Now()), regions)) == 0
+	m.noteWaiting(current, regions, waits, true)
 }
 
-// forget drops the specifications and texts of jobs that are not allowed in this region from
+// dropDisallowed drops the specifications and texts of jobs that are not allowed in this region from
 // memory. It runs after each change of the configuration; data that is not allowed under the
 // current one is never kept.
-func (m *Manager) forget() {
+func (m *Manager) dropDisallowed() {
 	m.specs.retain(func(job string) bool {
 		state, found := m.snapshot(job)
 		return found && (!state.known || m.allowedHere(state.head))
--- a/internal/gatewaynode/batch/regions_test.go
+++ b/internal/gatewaynode/batch/regions_test.go
@@ -63,12 +63,12 @@
 	for id, head := range heads {
 		m.state(id).setHead(head, 1)
 		m.specs.put(id, &Spec{ID: id})
-		m.runner.kept.put("item of "+id, text{}, head.kind())
+		m.runner.kept.put("item of "+id, text{}, head.residency())
 	}
-	m.forget()
+	m.dropDisallowed()
 	for id, head := range heads {
 		job := &ownedJob{origin: head}
-		m.runner.keep(job, "later item of "+id, text{})
+		m.runner.keepText(job, "later item of "+id, text{})
 		wanted := id == "here"
 		_, kept := m.runner.kept.take("item of " + id)
 		_, later := m.runner.kept.take("later item of " + id)
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -49,31 +49,31 @@
 	work    fingerprint.Fingerprint
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
-	// endSlot releases the slot of the run in the fleet's accounts.
-	endSlot func()
-	// asked removes the run from the runner's unsent counts.
-	asked func()
+	// releaseSlot releases the slot of the run in the fleet's accounts.
+	releaseSlot func()
+	// markSent removes the run from the runner's unsent counts.
+	markSent func()
 	// deadline is when the backend has to stop processing; zero means none.
 	deadline time.Time
 	// priority is the priority of the run at its backend.
 	priority int
 }
 
-// launch starts a run of an item on a backend. The caller holds r.mu.
-func (r *runner) launch(job *ownedJob, index int, route *routetable.Route, backend fleet.Backend) {
+// startRun starts a run of an item on a backend. The caller holds r.mu.
+func (r *runner) startRun(job *ownedJob, index int, route *routetable.Route, backend fleet.Backend) {
 	ctx, cancel := context.WithCancelCause(job.ctx)
 	item := &job.items[index]
 	item.phase, item.backend, item.cancel, item.started = phaseRunning, backend.ID, cancel, time.Now()
 	item.target = ""
 	if item.runs == 0 {
 		item.firstStart = item.started
-		item.waited = item.started.Sub(job.opened)
+		item.startDelay = item.started.Sub(job.opened)
 	}
 	item.runs++
 	started := &run{
 		runner: r, job: job, index: index, route: route, backend: backend, ctx: ctx, cancel: cancel,
-		endSlot: r.manager.config.Fleet.Begin(backend.ID), priority: upstream.PriorityOf(r.priority(job.tenant, route), item.behind()),
-		request: r.requestOf(job, index, route), work: item.work, asked: r.unsent.begin(backend.ID),
+		releaseSlot: r.manager.config.Fleet.Begin(backend.ID), priority: upstream.PriorityOf(r.priority(job.tenant, route), item.priorityOffset()),
+		request: r.requestOf(job, index, route), work: item.work, markSent: r.unsent.begin(backend.ID),
 	}
 	if !item.trial {
 		started.request.Work = item.work
@@ -90,30 +90,30 @@
 // that runs out of memory preempts the newest run of the lowest priority, which produces
 // no events until there is memory again and then has to be prefilled anew.
 const (
-	behindLong   = 0
-	behindMiddle = 1
-	behindShort  = 2
+	offsetLong   = 0
+	offsetMiddle = 1
+	offsetShort  = 2
 )
 
-// longText is the number of events from which an item counts as long, whatever its
+// minLongEvents is the number of events from which an item counts as long, whatever its
 // expected length.
-const longText = 30
+const minLongEvents = 30
 
-// behind returns the priority offset of the item's next run. Long items go first: they
+// priorityOffset returns the priority offset of the item's next run. Long items go first: they
 // determine when their training step ends, and preempting them costs the most prefill.
-func (i *itemState) behind() int {
+func (i *itemState) priorityOffset() int {
 	switch {
-	case i.long || len(i.text.events) >= longText:
-		return behindLong
+	case i.long || len(i.text.events) >= minLongEvents:
+		return offsetLong
 	case i.short:
-		return behindShort
+		return offsetShort
 	}
-	return behindMiddle
+	return offsetMiddle
 }
 
 // admit checks immediately before sending whether the backend may receive the item.
 func (r *run) admit() error {
-	defer r.asked()
+	defer r.markSent()
 	return r.runner.manager.config.Gate.Admit(r.backend.ID, r.request)
 }
 
@@ -125,8 +125,8 @@
 	err := r.stream(after)
 	cause := context.Cause(r.ctx)
 	r.cancel(nil)
-	r.asked()
-	r.endSlot()
+	r.markSent()
+	r.releaseSlot()
 	if err != nil && cause != nil {
 		err = cause
 	}
@@ -232,7 +232,7 @@
 
 // silenceLimit returns the time without an event after which the run is canceled.
 func (r *run) silenceLimit() time.Duration {
-	usual := max(r.backend.Pace, usualPace)
+	usual := max(r.backend.Pace, defaultPace)
 	return min(max(silenceIntervals*usual, minSilence), maxSilence)
 }
 
@@ -283,7 +283,7 @@
 	if version < run.job.spec.MinVersion {
 		return errOldVersion
 	}
-	if only := item.text.only(run.route.SingleVersion); only != 0 && version != only {
+	if only := item.text.requiredVersion(run.route.SingleVersion); only != 0 && version != only {
 		item.resetText()
 		return errVersionChanged
 	}
@@ -296,7 +296,7 @@
 func (i *itemState) resetText() {
 	i.text = text{}
 	i.sequence++
-	i.saved, i.savedComplete = 0, false
+	i.savedEvents, i.savedComplete = 0, false
 }
 
 // finishRun handles the end of a run: it completes or fails the item, or leaves it waiting
@@ -320,7 +320,7 @@
 		r.withhold(run, err)
 		return
 	}
-	r.blame(run, err)
+	r.recordBackendFailure(run, err)
 	switch {
 	case errors.Is(err, errUnprocessable):
 		r.logItem(run, eventlog.ItemDead, err)
@@ -362,11 +362,11 @@
 	staleVersionPause = 500 * time.Millisecond
 )
 
-// blame suspends the backend of a failed run or counts a failure against it, depending
+// recordBackendFailure suspends the backend of a failed run or counts a failure against it, depending
 // on the error. It does neither if the job was closed, the item was moved, stopped or
 // expired, or the failure may be due to the item. errSilent is a failure of the backend,
 // although this node cancels the run.
-func (r *runner) blame(run *run, err error) {
+func (r *runner) recordBackendFailure(run *run, err error) {
 	backends, now := r.manager.config.Fleet, time.Now()
 	switch {
 	case run.job.ctx.Err() != nil, errors.Is(err, errMoved), errors.Is(err, errStopping), errors.Is(err, errExpired),
@@ -394,7 +394,7 @@
 		"events": len(item.text.events), eventlog.TookMillis: time.Since(item.started).Milliseconds(),
 		eventlog.Version: run.backend.Models[run.job.spec.Model], "min_version": run.job.spec.MinVersion,
 		"in_flight": run.backend.InFlight, "others": run.backend.OthersRunning, "hint": run.item().LengthHint,
-		"waited_ms": item.waited.Milliseconds(), "runs": item.runs, "since_open_ms": time.Since(run.job.opened).Milliseconds(),
+		"waited_ms": item.startDelay.Milliseconds(), "runs": item.runs, "since_open_ms": time.Since(run.job.opened).Milliseconds(),
 	}
 	if err == nil {
 		r.manager.config.Log.Info(event, fields)
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -39,13 +39,13 @@
 	cancel context.CancelCauseFunc
 	// started is the start of the last run, firstStart that of the first one.
 	started time.Time
-	// waited is the time from the opening of the job to the first run.
-	waited     time.Duration
+	// startDelay is the time from the opening of the job to the first run.
+	startDelay time.Duration
 	runs       int
 	firstStart time.Time
-	// sequence counts how often the output was started over; saved is the number of events
+	// sequence counts how often the output was started over; savedEvents is the number of events
 	// of the current sequence that are stored.
-	sequence, saved int
+	sequence, savedEvents int
 	// savedComplete is set if the complete output is stored.
 	savedComplete bool
 	// moved is when the item was last moved to another backend, and avoid the backend
@@ -85,9 +85,9 @@
 	// checkpointing is set while a checkpoint of the job is being written.
 	checkpointing bool
 	opened        time.Time
-	// heldSaid is when the reason why no backend may receive items of the job was last
+	// heldLoggedAt is when the reason why no backend may receive items of the job was last
 	// logged.
-	heldSaid time.Time
+	heldLoggedAt time.Time
 
 	head      Head
 	revision  int64
@@ -99,9 +99,9 @@
 	// commitToken serializes commits: it holds a token during each. It is a channel and
 	// not a mutex so that waiting for it can be canceled.
 	commitToken chan struct{}
-	// left counts the items that are not finished.
-	left   int
-	groups groups
+	// unfinished counts the items that are not finished.
+	unfinished int
+	groups     groups
 	// scoring holds the indices of the items in phaseScoring in the order in which they
 	// entered it.
 	scoring []int
@@ -111,7 +111,7 @@
 }
 
 // active reports whether items of the job may be started.
-func (j *ownedJob) active() bool { return j.ready && !j.suspended && j.left > 0 }
+func (j *ownedJob) active() bool { return j.ready && !j.suspended && j.unfinished > 0 }
 
 // runner runs the items of the jobs that this node owns.
 type runner struct {
@@ -124,8 +124,8 @@
 	kept keptTexts
 	// scheduleWake triggers scheduling.
 	scheduleWake chan struct{}
-	// seconds limits hedged scoring calls, which are sent in addition to slow ones.
-	seconds hedgeBudget
+	// hedges limits hedged scoring calls, which are sent in addition to slow ones.
+	hedges hedgeBudget
 	// lengths holds statistics of output lengths.
 	lengths lengths
 	unsent  *unsent
@@ -297,7 +297,7 @@
 			job.groups.finish(spec.Items[i].Group)
 			continue
 		}
-		job.left++
+		job.unfinished++
 		item.text = found.texts[i]
 		kept, known := r.kept.take(spec.Items[i].ID)
 		if known {
@@ -363,9 +363,9 @@
 	return table.Match(spec.Host, spec.Items[0].Path)
 }
 
-// pool returns the service that runs a job's items: that of the route's first split, or
+// serviceOf returns the service that runs a job's items: that of the route's first split, or
 // empty if there is none.
-func (r *runner) pool(spec *Spec) string {
+func (r *runner) serviceOf(spec *Spec) string {
 	if route := r.route(spec); route != nil && len(route.Splits) > 0 {
 		return route.Splits[0].Service
 	}
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -32,9 +32,9 @@
 func (r *runner) schedule() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.newPools(time.Now())
+	p := r.newSchedulingRound(time.Now())
 	r.scheduleScores(p)
-	if r.waitingForScore() >= scoringMost {
+	if r.waitingForScore() >= maxScoring {
 		return
 	}
 	var list []candidate
@@ -61,7 +61,7 @@
 const urgentWeight = 1e12
 
 // appendCandidates appends the candidates of a job to list. The caller holds r.mu.
-func (r *runner) appendCandidates(list []candidate, job *ownedJob, route *routetable.Route, p *pools) []candidate {
+func (r *runner) appendCandidates(list []candidate, job *ownedJob, route *routetable.Route, p *schedulingRound) []candidate {
 	priority := priorityOf(p.config, job.tenant, route)
 	for _, index := range job.order {
 		item := &job.items[index]
@@ -114,28 +114,28 @@
 	})
 }
 
-// pools holds the backends of each service during one scheduling round. It accounts for the
+// schedulingRound holds the backends of each service during one scheduling round. It accounts for the
 // requests that the round assigns.
-type pools struct {
+type schedulingRound struct {
 	fleet    *fleet.Fleet
 	reach    Reach
 	now      time.Time
-	services map[string]*pool
+	services map[string]*serviceBackends
 	// config is the current configuration, nil if there is none.
 	config *routetable.Table
 	// used is the token usage of this node's runs by backend ID.
 	used  map[string]usage
 	world *eligibility.Snapshot
-	// given counts, by backend ID, the requests that were assigned in this or an earlier
+	// assigned counts, by backend ID, the requests that were assigned in this or an earlier
 	// round and have not been sent yet. eligibility.Snapshot.ColdRequestsLeft does not count
 	// them, so turnsLeft subtracts them.
-	given map[string]int
+	assigned map[string]int
 	// demands holds the remaining work of each job.
 	demands map[*ownedJob]*demand
 }
 
-// pool holds the backends of one service.
-type pool struct {
+// serviceBackends holds the backends of one service.
+type serviceBackends struct {
 	backends []fleet.Backend
 	// eventTokens is the number of tokens per stream event.
 	eventTokens int
@@ -145,49 +145,49 @@
 	uneven bool
 	// full holds the needs for which no backend was found in this round.
 	full map[need]bool
-	// passed counts the items that this round left waiting for a faster backend.
-	passed int
+	// postponed counts the items that this round left waiting for a faster backend.
+	postponed int
 }
 
-func (r *runner) newPools(now time.Time) *pools {
-	p := &pools{
-		fleet: r.manager.config.Fleet, reach: r.manager.config.Reach, now: now, services: make(map[string]*pool),
+func (r *runner) newSchedulingRound(now time.Time) *schedulingRound {
+	p := &schedulingRound{
+		fleet: r.manager.config.Fleet, reach: r.manager.config.Reach, now: now, services: make(map[string]*serviceBackends),
 		config: r.manager.config.Routes(), used: r.usages(), demands: make(map[*ownedJob]*demand),
-		world: r.manager.config.Gate.Snapshot(now), given: r.unsent.snapshot(),
+		world: r.manager.config.Gate.Snapshot(now), assigned: r.unsent.snapshot(),
 	}
 	p.world.ColdRequestsLeft = p.turnsLeft(p.world.ColdRequestsLeft)
 	return p
 }
 
-// turnsLeft wraps turns to subtract the requests in p.given.
-func (p *pools) turnsLeft(turns func(*fleet.Backend) int) func(*fleet.Backend) int {
+// turnsLeft wraps turns to subtract the requests in p.assigned.
+func (p *schedulingRound) turnsLeft(turns func(*fleet.Backend) int) func(*fleet.Backend) int {
 	return func(b *fleet.Backend) int {
 		left := turns(b)
 		if left == coldstart.Unbounded {
 			return left
 		}
-		return left - p.given[b.ID]
+		return left - p.assigned[b.ID]
 	}
 }
 
-// give records that the round assigned a request to b.
-func (p *pools) give(b *fleet.Backend) {
+// assign records that the round assigned a request to b.
+func (p *schedulingRound) assign(b *fleet.Backend) {
 	b.InFlight++
-	p.given[b.ID]++
+	p.assigned[b.ID]++
 }
 
 // of returns the backends of the service that serves the item at index of a job on route.
-func (p *pools) of(route *routetable.Route, index int) *pool {
+func (p *schedulingRound) of(route *routetable.Route, index int) *serviceBackends {
 	return p.service(route.Pick(uint64(index), 0))
 }
 
 // service returns the backends of a service, loading them on first use in the round.
-func (p *pools) service(service string) *pool {
+func (p *schedulingRound) service(service string) *serviceBackends {
 	found, known := p.services[service]
 	if known {
 		return found
 	}
-	found = &pool{backends: p.fleet.Service(service, p.now), full: make(map[need]bool)}
+	found = &serviceBackends{backends: p.fleet.Service(service, p.now), full: make(map[need]bool)}
 	if p.config != nil {
 		configured := p.config.Services[service]
 		found.eventTokens = configured.EventTokens
@@ -209,7 +209,7 @@
 }
 
 // needOf returns the requirements of a candidate. The caller holds r.mu.
-func (r *runner) needOf(c candidate, pool *pool) need {
+func (r *runner) needOf(c candidate, pool *serviceBackends) need {
 	want := need{Request: r.requestOf(c.job, c.index, c.route)}
 	want.held, want.expected = r.itemMemory(c.job, c.index, pool.eventTokens)
 	return want
@@ -221,7 +221,7 @@
 	return eligibility.Request{
 		Regions: r.regions(route, job.tenant), Durable: true,
 		Model: job.spec.Model, Weights: true, MinVersion: job.spec.MinVersion,
-		Version: job.items[index].text.only(route.SingleVersion),
+		Version: job.items[index].text.requiredVersion(route.SingleVersion),
 	}
 }
 
@@ -236,7 +236,7 @@
 
 // scheduleItem starts a waiting item if a backend has room and starting there is faster than
 // waiting for a better one. The caller holds r.mu.
-func (r *runner) scheduleItem(c candidate, p *pools) {
+func (r *runner) scheduleItem(c candidate, p *schedulingRound) {
 	pool := p.of(c.route, c.index)
 	item := &c.job.items[c.index]
 	want := r.needOf(c, pool)
@@ -261,17 +261,17 @@
 	if float64(slow) > moveRatio*float64(pool.typical) {
 		events := r.lengths.expected(c.job.spec.Items[c.index].LengthHint) - float64(len(item.text.events))
 		slots := fastSlots(pool.backends, want, pool.typical, p.world)
-		if !worthStarting(events, slow, pool.typical, r.lengths.wait(pool.passed, slots)) {
-			pool.passed++
+		if !worthStarting(events, slow, pool.typical, r.lengths.wait(pool.postponed, slots)) {
+			pool.postponed++
 			return
 		}
 	}
-	p.give(b)
+	p.assign(b)
 	takeIdle(b)
 	takeMemory(b, want)
 	p.demands[c.job].running++
 	item.urgent = false
-	r.launch(c.job, c.index, c.route, *b)
+	r.startRun(c.job, c.index, c.route, *b)
 }
 
 // takeIdle accounts for the idle connection that a call to b will use, if there is one.
@@ -280,7 +280,7 @@
 // goToTarget starts a moved item at its target backend and reports whether it did. If the
 // target can no longer run the item, the caller places it like any other. The caller holds
 // r.mu.
-func (r *runner) goToTarget(c candidate, pool *pool, want need, p *pools) bool {
+func (r *runner) goToTarget(c candidate, pool *serviceBackends, want need, p *schedulingRound) bool {
 	item := &c.job.items[c.index]
 	chosen := slices.IndexFunc(pool.backends, func(b fleet.Backend) bool { return b.ID == item.target })
 	item.target = ""
@@ -292,10 +292,10 @@
 	if !suits(b, want, p.world) {
 		return false
 	}
-	p.give(b)
+	p.assign(b)
 	takeMemory(b, want)
 	item.urgent = false
-	r.launch(c.job, c.index, c.route, *b)
+	r.startRun(c.job, c.index, c.route, *b)
 	return true
 }
 
--- a/internal/gatewaynode/batch/schedule_test.go
+++ b/internal/gatewaynode/batch/schedule_test.go
@@ -43,7 +43,7 @@
 
 func TestLengthEstimates(t *testing.T) {
 	var l lengths
-	if l.expected(100) != 0 || l.wait(3, 4) != 0 || l.wait(3, 0) != never {
+	if l.expected(100) != 0 || l.wait(3, 4) != 0 || l.wait(3, 0) != unboundedWait {
 		t.Error("unexpected estimate before any item ended")
 	}
 	for range 50 {
@@ -81,7 +81,7 @@
 		{Tenant: tenant.Tenant{Name: "first", Priority: 0, Ranked: true}}, {Tenant: tenant.Tenant{Name: "unranked"}},
 		{Tenant: tenant.Tenant{Name: "last", Priority: 9, Ranked: true}},
 	})
-	p := &pools{services: make(map[string]*pool), config: table}
+	p := &schedulingRound{services: make(map[string]*serviceBackends), config: table}
 	var list []candidate
 	for _, name := range []string{"last", "unranked", "first", "gone"} {
 		job := &ownedJob{tenant: name, spec: &Spec{Items: []Item{{LengthHint: 100}}}, items: make([]itemState, 1), order: []int{0}}
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -52,7 +52,7 @@
 
 // scheduleScores sends the scoring calls that are due, those of older jobs first. The caller
 // holds r.mu.
-func (r *runner) scheduleScores(p *pools) {
+func (r *runner) scheduleScores(p *schedulingRound) {
 	table := r.manager.config.Routes()
 	if table == nil {
 		return
@@ -81,9 +81,9 @@
 	return jobs
 }
 
-// scoringMost is the number of items waiting for their score from which no further item is
+// maxScoring is the number of items waiting for their score from which no further item is
 // started. It bounds the memory in use while a scoring service is unavailable.
-const scoringMost = 2000
+const maxScoring = 2000
 
 // waitingForScore returns the number of items that wait for their score. The caller holds r.mu.
 func (r *runner) waitingForScore() int {
@@ -96,9 +96,9 @@
 
 // scheduleScore sends the first or a hedging call for one item if it is due and a backend has
 // room. An item whose scorer matches no route waits. The caller holds r.mu.
-func (r *runner) scheduleScore(job *ownedJob, index int, table *routetable.Table, p *pools, now clock.Millis) {
+func (r *runner) scheduleScore(job *ownedJob, index int, table *routetable.Table, p *schedulingRound, now clock.Millis) {
 	state := &job.items[index].score
-	if now < state.after || len(state.calls) >= scoreCallsMost {
+	if now < state.after || len(state.calls) >= maxScoreCalls {
 		return
 	}
 	scorer := job.spec.Items[index].Scorer
@@ -113,22 +113,22 @@
 	want := scorerWant{Request: request}
 	if len(state.calls) > 0 {
 		first := state.calls[0]
-		if now-first.sent < hedgeDelay(pool, route) || !r.seconds.left() {
+		if now-first.sent < hedgeDelay(pool, route) || !r.hedges.left() {
 			return
 		}
 		want.avoid = first.backend.ID
 	}
-	want.idleOnly = state.sends == 0 && awaited(pool) && patientScore(p.demands[job].longest, usualPace, usualScore(pool), (now-state.since).Duration())
+	want.idleOnly = state.sends == 0 && awaited(pool) && patientScore(p.demands[job].longest, defaultPace, lowestScoreLatency(pool), (now-state.since).Duration())
 	chosen := pickScorer(pool, want, p.world)
 	if chosen < 0 {
 		return
 	}
 	if len(state.calls) > 0 {
-		r.seconds.take()
+		r.hedges.take()
 	} else {
-		r.seconds.add()
+		r.hedges.add()
 	}
-	p.give(&pool[chosen])
+	p.assign(&pool[chosen])
 	takeIdle(&pool[chosen])
 	r.call(job, index, route, pool[chosen], now, request)
 }
--- a/internal/gatewaynode/batch/scorecall.go
+++ b/internal/gatewaynode/batch/scorecall.go
@@ -55,14 +55,14 @@
 	request eligibility.Request
 	sent    clock.Millis
 	// limit is the timeout.
-	limit   clock.Millis
-	work    fingerprint.Fingerprint
-	ctx     context.Context
-	cancel  context.CancelFunc
-	endSlot func()
-	// asked records that the call no longer waits for a connection. It may be called
+	limit       clock.Millis
+	work        fingerprint.Fingerprint
+	ctx         context.Context
+	cancel      context.CancelFunc
+	releaseSlot func()
+	// markSent records that the call no longer waits for a connection. It may be called
 	// repeatedly.
-	asked func()
+	markSent func()
 }
 
 func (c *scoreCall) scorer() *Scorer { return c.job.spec.Items[c.index].Scorer }
@@ -74,8 +74,8 @@
 	ctx, cancel := context.WithTimeout(job.ctx, limit.Duration())
 	c := &scoreCall{
 		runner: r, job: job, index: index, route: route, backend: backend, sent: now, limit: limit, request: request, work: state.work,
-		asked: r.unsent.begin(backend.ID),
-		ctx:   ctx, cancel: cancel, endSlot: r.manager.config.Fleet.Begin(backend.ID),
+		markSent: r.unsent.begin(backend.ID),
+		ctx:      ctx, cancel: cancel, releaseSlot: r.manager.config.Fleet.Begin(backend.ID),
 	}
 	state.sends++
 	state.calls = append(state.calls, c)
@@ -85,8 +85,8 @@
 // serve runs the call and handles its outcome.
 func (c *scoreCall) serve() {
 	fate := c.send()
-	c.asked()
-	c.endSlot()
+	c.markSent()
+	c.releaseSlot()
 	c.runner.settleScore(c, fate)
 	c.cancel()
 	c.runner.kick()
@@ -94,7 +94,7 @@
 
 // admit checks again, immediately before the call is sent, that the backend is eligible.
 func (c *scoreCall) admit() error {
-	defer c.asked()
+	defer c.markSent()
 	return c.runner.manager.config.Gate.Admit(c.backend.ID, c.request)
 }
 
@@ -106,8 +106,8 @@
 	return c.job.tenant
 }
 
-// scoreAnswerMost is the size in bytes from which a response body counts as truncated.
-const scoreAnswerMost = 1 << 20
+// maxScoreAnswerBytes is the size in bytes from which a response body counts as truncated.
+const maxScoreAnswerBytes = 1 << 20
 
 // send sends the call and reads its response.
 func (c *scoreCall) send() scoreFate {
@@ -124,8 +124,8 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	m.observeLoad(c.backend.ID, answer.Meta)
-	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, scoreAnswerMost))
-	if err == nil && size >= scoreAnswerMost {
+	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxScoreAnswerBytes))
+	if err == nil && size >= maxScoreAnswerBytes {
 		err = upstream.ErrTruncated
 	}
 	if err != nil {
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -12,8 +12,8 @@
 // Parameters of the calls to scoring services. Latencies are scoring latencies of the backends,
 // targets are the latency targets of the routes.
 const (
-	// scoreCallsMost is the maximum number of concurrent calls for one item.
-	scoreCallsMost = 2
+	// maxScoreCalls is the maximum number of concurrent calls for one item.
+	maxScoreCalls = 2
 	// scoreReserve is the share of a backend's slots, at least one, that is reserved for live
 	// requests, which have precedence.
 	scoreReserve = 0.15
@@ -23,8 +23,8 @@
 	// scoreDistance is the number of round trips to the backend that are added to the cost. A
 	// call takes one; the rest accounts for the charges for traffic between zones and regions.
 	scoreDistance = 1.5
-	// scoreUsual is the assumed latency if none is known.
-	scoreUsual = 30 * time.Millisecond
+	// defaultScoreLatency is the assumed latency if none is known.
+	defaultScoreLatency = 30 * time.Millisecond
 	// scoreLimitLatencies and scoreLimitTargets determine the initial timeout of a call: the
 	// greater of these multiples of the latency and of the target. It doubles with each call that
 	// was cut off, since a request may take much longer than most.
@@ -55,7 +55,7 @@
 func pickScorer(pool []fleet.Backend, want scorerWant, world *eligibility.Snapshot) int {
 	best := -1
 	var bestCost float64
-	usual := usualScore(pool)
+	usual := lowestScoreLatency(pool)
 	for i := range pool {
 		b := &pool[i]
 		if b.ID == want.avoid || b.Suspended(world.Now) || !hasRoom(b) || want.idleOnly && b.Reach.Idle == 0 || !world.Eligible(b, want.Request) {
@@ -90,7 +90,7 @@
 // scoreLatency returns the scoring latency of b, or scoreUsual if it is unknown.
 func scoreLatency(b *fleet.Backend) time.Duration {
 	if b.ScoreLatency == 0 {
-		return scoreUsual
+		return defaultScoreLatency
 	}
 	return b.ScoreLatency
 }
@@ -122,12 +122,12 @@
 
 // hedgeDelay returns the time after which a call without a response is hedged by a second one.
 func hedgeDelay(pool []fleet.Backend, route *routetable.Route) clock.Millis {
-	return clock.Of(max(hedgeLatencies*usualScore(pool), time.Duration(hedgeTargets*float64(route.Target))))
+	return clock.Of(max(hedgeLatencies*lowestScoreLatency(pool), time.Duration(hedgeTargets*float64(route.Target))))
 }
 
-// usualScore returns the lowest known scoring latency in the pool, or scoreUsual if none is
+// lowestScoreLatency returns the lowest known scoring latency in the pool, or scoreUsual if none is
 // known.
-func usualScore(pool []fleet.Backend) time.Duration {
+func lowestScoreLatency(pool []fleet.Backend) time.Duration {
 	usual := time.Duration(0)
 	for i := range pool {
 		if latency := pool[i].ScoreLatency; latency > 0 && (usual == 0 || latency < usual) {
@@ -135,7 +135,7 @@
 		}
 	}
 	if usual == 0 {
-		return scoreUsual
+		return defaultScoreLatency
 	}
 	return usual
 }
--- a/internal/gatewaynode/batch/scoreplace_test.go
+++ b/internal/gatewaynode/batch/scoreplace_test.go
@@ -129,11 +129,11 @@
 		texts []string
 	}{{0, false, []string{"a", "b"}}, {2, true, []string{"c"}}}
 	item := itemState{phase: phaseScoring, firstStart: time.Now(), text: text{events: [][]byte{[]byte("a")}, versions: []int64{1}, complete: true}}
-	if !item.unsaved(time.Hour) {
+	if !item.hasUnsaved(time.Hour) {
 		t.Error("complete text that waits for its score is not stored at once")
 	}
-	item.saved, item.savedComplete = 1, true
-	if item.unsaved(0) {
+	item.savedEvents, item.savedComplete = 1, true
+	if item.hasUnsaved(0) {
 		t.Error("complete text is stored twice")
 	}
 	var stored []partialRow
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -93,7 +93,7 @@
 
 // ownerKeyOf returns the owner key of a job; see ownerKey.
 func (m *Manager) ownerKeyOf(spec *Spec) string {
-	service := m.runner.pool(spec)
+	service := m.runner.serviceOf(spec)
 	slots, models := m.config.Fleet.Slots(service)
 	return ownerKey(service, spec.Model, spec.ID, slots, models)
 }
--- a/internal/gatewaynode/batch/text.go
+++ b/internal/gatewaynode/batch/text.go
@@ -33,8 +33,8 @@
 	return true
 }
 
-// only returns the version that must produce the remaining events, 0 if any may.
-func (t text) only(singleVersion bool) int64 {
+// requiredVersion returns the version that must produce the remaining events, 0 if any may.
+func (t text) requiredVersion(singleVersion bool) int64 {
 	if !singleVersion || len(t.versions) == 0 {
 		return 0
 	}
@@ -54,8 +54,8 @@
 	return string(bytes.Join(t.events, []byte("\n"))), slices.Compact(versions)
 }
 
-// keptMost is the maximum number of texts kept for later jobs.
-const keptMost = 600
+// maxKeptTexts is the maximum number of texts kept for later jobs.
+const maxKeptTexts = 600
 
 // keptTexts keeps the texts of the latest items by item ID, so that a later job with the same
 // item can continue them.
@@ -79,7 +79,7 @@
 		k.order = append(k.order, item)
 	}
 	k.texts[item] = keptText{made: made, of: of}
-	for len(k.order) > keptMost {
+	for len(k.order) > maxKeptTexts {
 		delete(k.texts, k.order[0])
 		k.order = k.order[1:]
 	}
--- a/internal/gatewaynode/batch/text_test.go
+++ b/internal/gatewaynode/batch/text_test.go
@@ -47,14 +47,14 @@
 
 func TestKeptTextsDropTheOldest(t *testing.T) {
 	kept := newKeptTexts()
-	for i := range keptMost + 10 {
+	for i := range maxKeptTexts + 10 {
 		kept.put(fmt.Sprint(i), made(1), residency{})
 	}
 	if _, found := kept.take("9"); found {
 		t.Error("oldest text was not dropped")
 	}
-	if _, found := kept.take("10"); !found || len(kept.texts) != keptMost {
-		t.Errorf("text 10 kept: %t; %d texts kept, want %d", found, len(kept.texts), keptMost)
+	if _, found := kept.take("10"); !found || len(kept.texts) != maxKeptTexts {
+		t.Errorf("text 10 kept: %t; %d texts kept, want %d", found, len(kept.texts), maxKeptTexts)
 	}
 }
 
