--- a/internal/gatewaynode/quarantine/key.go
+++ b/internal/gatewaynode/quarantine/key.go
@@ -31,7 +31,9 @@
 func (t *Tracker) takeKey(value []byte) {
 	var key fingerprint.Key
 	if copy(key[:], value) < len(key) {
-		t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: keyRow, eventlog.Cause: "fingerprint key is too short"})
+		t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{
+			eventlog.Table: Table, eventlog.Key: keyRow, eventlog.Cause: "fingerprint key is too short",
+		})
 		return
 	}
 	t.key.Store(&key)
@@ -54,7 +56,9 @@
 	case errors.As(err, &conflict):
 		// Another node wrote the key; Apply receives it.
 	default:
-		t.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{"row": keyRow, eventlog.Cause: err.Error()})
+		t.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{
+			"row": keyRow, eventlog.Cause: err.Error(),
+		})
 		pause.For(ctx, writeRetry)
 		t.outbox.signal()
 	}
--- a/internal/gatewaynode/quarantine/rows.go
+++ b/internal/gatewaynode/quarantine/rows.go
@@ -94,7 +94,9 @@
 		}
 		failure, err := decodeFailure(r)
 		if err != nil {
-			t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: r.Key, eventlog.Cause: err.Error()})
+			t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{
+				eventlog.Table: Table, eventlog.Key: r.Key, eventlog.Cause: err.Error(),
+			})
 			continue
 		}
 		if r.Deleted {
@@ -157,7 +159,9 @@
 func (t *Tracker) ReceiveFailures(encoded json.RawMessage) {
 	var list []message
 	if err := json.Unmarshal(encoded, &list); err != nil {
-		t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Cause: err.Error()})
+		t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{
+			eventlog.Table: Table, eventlog.Cause: err.Error(),
+		})
 		return
 	}
 	t.mu.Lock()
@@ -166,7 +170,9 @@
 	for _, m := range list {
 		failure, err := decodeKey(m.Key)
 		if err != nil {
-			t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{eventlog.Table: Table, eventlog.Key: m.Key, eventlog.Cause: err.Error()})
+			t.config.Log.Warn(eventlog.RowUnreadable, eventlog.Fields{
+				eventlog.Table: Table, eventlog.Key: m.Key, eventlog.Cause: err.Error(),
+			})
 			continue
 		}
 		t.learn(known{Failure: m.with(failure), at: now})
--- a/internal/gatewaynode/quarantine/tracker.go
+++ b/internal/gatewaynode/quarantine/tracker.go
@@ -265,7 +265,9 @@
 	if s == nil {
 		return false
 	}
-	t.config.Log.Warn(eventlog.RequestCleared, eventlog.Fields{eventlog.Work: work.String(), "ends": len(s.failures), eventlog.Cause: "lifted by an operator"})
+	t.config.Log.Warn(eventlog.RequestCleared, eventlog.Fields{
+		eventlog.Work: work.String(), "ends": len(s.failures), eventlog.Cause: "lifted by an operator",
+	})
 	t.forget(s, true)
 	return true
 }
--- a/internal/gatewaynode/quarantine/writer.go
+++ b/internal/gatewaynode/quarantine/writer.go
@@ -80,7 +80,9 @@
 	_, err := t.config.Store.Commit(bounded, transaction)
 	cancel()
 	if err != nil {
-		t.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{eventlog.Count: len(puts), "deletes": len(deletes), eventlog.Cause: err.Error()})
+		t.config.Log.Warn(eventlog.EvidenceUnsent, eventlog.Fields{
+			eventlog.Count: len(puts), "deletes": len(deletes), eventlog.Cause: err.Error(),
+		})
 		t.failedWrites++
 		t.tell(ctx, w, puts)
 		pause.For(ctx, writeRetry)
--- a/internal/gatewaynode/upstream/connections.go
+++ b/internal/gatewaynode/upstream/connections.go
@@ -35,7 +35,7 @@
 	OpenClosed OpenCause = "closed"
 	// OpenAborted means that an earlier connection was closed by a cancelled or failed call.
 	OpenAborted OpenCause = "cut"
-	// OpenForced means that Call.Fresh was set.
+	// OpenForced means that Call.NewConnection was set.
 	OpenForced OpenCause = "fresh"
 )
 
@@ -167,10 +167,10 @@
 }
 
 // cause returns the cause of a new connection and removes it from p.lost.
-func (p *peer) cause(fresh bool) OpenCause {
+func (p *peer) cause(forced bool) OpenCause {
 	last := len(p.lost) - 1
 	switch {
-	case fresh:
+	case forced:
 		return OpenForced
 	case last >= 0:
 		lost := p.lost[last]
--- a/internal/gatewaynode/upstream/connections_test.go
+++ b/internal/gatewaynode/upstream/connections_test.go
@@ -96,7 +96,7 @@
 			time.Sleep(time.Millisecond)
 			_ = call(ctx, client, false)
 		}, []OpenCause{OpenFirst, OpenAborted, OpenBusy}},
-		{"call with Fresh", func(ctx context.Context, client *Client) {
+		{"call with NewConnection", func(ctx context.Context, client *Client) {
 			_ = call(ctx, client, false)
 			_ = call(ctx, client, true)
 		}, []OpenCause{OpenFirst, OpenForced}},
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -283,7 +283,10 @@
 
 // BodyError returns the Error of a call whose answer is incomplete or malformed.
 func (a *Answer) BodyError(cause error) *Error {
-	return &Error{Fate: Unknown, Cause: cause, Sent: a.Sent, After: time.Since(a.Sent), End: EndMalformed, Receipt: ReceiptComplete, Heard: true}
+	return &Error{
+		Fate: Unknown, Cause: cause, Sent: a.Sent, After: time.Since(a.Sent),
+		End: EndMalformed, Receipt: ReceiptComplete, Heard: true,
+	}
 }
 
 // Do sends a call and returns once the head of its answer was received. Its errors are of
@@ -395,7 +398,10 @@
 // answer returns the Answer of a response, or a NotRun error if the response refuses the
 // call. The connection of a refusal is kept if it is reusable. sawSurplus means that surplus
 // answers came before.
-func (c *Client) answer(conn *connection, call *Call, response *http.Response, meta Meta, sawSurplus bool, written <-chan error, release func() bool) (*Answer, *Error) {
+func (c *Client) answer(
+	conn *connection, call *Call, response *http.Response, meta Meta, sawSurplus bool,
+	written <-chan error, release func() bool,
+) (*Answer, *Error) {
 	if meta.NotRun || meta.WrongInstance {
 		failure := &Error{Fate: NotRun, Cause: errNotRun, Status: response.StatusCode}
 		if discard(response.Body) == nil && !sawSurplus && finished(written) && release() {
@@ -404,7 +410,10 @@
 		}
 		return nil, failure
 	}
-	body := &answerBody{client: c, conn: conn, response: response, sawSurplus: sawSurplus, written: written, release: release}
+	body := &answerBody{
+		client: c, conn: conn, response: response, sawSurplus: sawSurplus, written: written,
+		release: release,
+	}
 	return &Answer{
 		Meta:   meta,
 		Status: response.StatusCode,
