--- a/internal/gatewaynode/batch/scorecall.go
+++ b/internal/gatewaynode/batch/scorecall.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return scoreCut{err}
 	}
-	m.config.Fleet.ObserveScore(c.backend.ID, answer.Meta.Load().AsUsual(time.Since(started)))
+	m.config.Fleet.ObserveScore(c.backend.ID, answer.Meta.Load().Normalize(time.Since(started)))
 	return fateOfAnswer(answer.Status, answer.Meta)
 }
 
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -111,7 +111,7 @@
 // TestAdmitCountsColdCalls checks that a call to a cold back end uses up the node's share.
 func TestAdmitCountsColdCalls(t *testing.T) {
 	gate, backends, _ := newTestGate(1, 0)
-	backends.Update([]fleet.Instance{{ID: "b", Revision: 1, Cold: time.Minute}}, nil)
+	backends.Update([]fleet.Instance{{ID: "b", Revision: 1, ColdDuration: time.Minute}}, nil)
 	if err := gate.Admit("b", Request{}); err != nil {
 		t.Error(err)
 	}
@@ -125,7 +125,7 @@
 func TestFrozenSenderKeepsToItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate, backends, _ := newTestGate(3, 0)
-		backends.Update([]fleet.Instance{{ID: "b", Revision: 1, Cold: time.Minute}}, nil)
+		backends.Update([]fleet.Instance{{ID: "b", Revision: 1, ColdDuration: time.Minute}}, nil)
 		var sent atomic.Int64
 		for range 50 {
 			time.AfterFunc(5*time.Second, func() {
--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -28,11 +28,11 @@
 	Draining bool
 	// Models maps a model to the version of its weights.
 	Models map[string]int64
-	// Cold is how long the instance stays cold after the registry entry was written.
-	Cold time.Duration
-	// Born is the start time of the process in milliseconds of its own clock, 0 if it is
+	// ColdDuration is how long the instance stays cold after the registry entry was written.
+	ColdDuration time.Duration
+	// StartedAt is the start time of the process in milliseconds of its own clock, 0 if it is
 	// not reported. A change means that the process restarted and lost its state.
-	Born int64
+	StartedAt int64
 	// Revision is the store's revision of the registry entry.
 	Revision int64
 }
@@ -255,10 +255,10 @@
 		f.instances[instance.ID] = held
 		f.addToService(held, instance)
 	}
-	if newer := instance.Revision > held.instance.Revision; newer && instance.Cold > 0 {
-		held.condition.ColdUntil = later(held.condition.ColdUntil, time.Now().Add(instance.Cold))
+	if newer := instance.Revision > held.instance.Revision; newer && instance.ColdDuration > 0 {
+		held.condition.ColdUntil = later(held.condition.ColdUntil, time.Now().Add(instance.ColdDuration))
 	}
-	if held.instance.Born != 0 && instance.Born != 0 && held.instance.Born != instance.Born {
+	if held.instance.StartedAt != 0 && instance.StartedAt != 0 && held.instance.StartedAt != instance.StartedAt {
 		held.reset()
 	}
 	held.instance = instance
--- a/internal/gatewaynode/fleet/fleet_test.go
+++ b/internal/gatewaynode/fleet/fleet_test.go
@@ -168,7 +168,7 @@
 // suspension, but not the requests in flight.
 func TestSameIDAgain(t *testing.T) {
 	backends, now := New(nil), time.Now()
-	entry := Instance{ID: "a", Service: "s", Slots: 4, Born: 1000, Revision: 1, Models: map[string]int64{"m": 1}}
+	entry := Instance{ID: "a", Service: "s", Slots: 4, StartedAt: 1000, Revision: 1, Models: map[string]int64{"m": 1}}
 	backends.Update([]Instance{entry}, nil)
 	end := backends.Begin("a")
 	backends.MarkVersion("a", "m", 7)
@@ -180,7 +180,7 @@
 	if b, _ := backends.Get("a", now); b.Models["m"] != 7 || b.Pace == 0 || b.Failures != 1 {
 		t.Errorf("an update without a restart reset the state: %+v", b)
 	}
-	entry.Revision, entry.Born = 3, 2000
+	entry.Revision, entry.StartedAt = 3, 2000
 	backends.Update([]Instance{entry}, nil)
 	if b, _ := backends.Get("a", now); b.Models["m"] != 1 || b.Pace != 0 || b.Failures != 0 || b.Suspended(now) || b.LoadingModel != "" || b.InFlight != 1 {
 		t.Errorf("state was kept across a restart: %+v", b)
--- a/internal/gatewaynode/fleet/observe.go
+++ b/internal/gatewaynode/fleet/observe.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// AsUsual converts a measured time to the time at the usual speed of the back end. It
+// Normalize converts a measured time to the time at the usual speed of the back end. It
 // returns took if no slowdown is reported.
-func (l Load) AsUsual(took time.Duration) time.Duration {
+func (l Load) Normalize(took time.Duration) time.Duration {
 	if l.Slowdown <= 0 {
 		return took
 	}
--- a/internal/gatewaynode/forward/buffered.go
+++ b/internal/gatewaynode/forward/buffered.go
@@ -175,7 +175,7 @@
 	if result.complete {
 		_ = answer.Body.Close()
 		took := time.Since(started)
-		usual := answer.Meta.Load().AsUsual(took)
+		usual := answer.Meta.Load().Normalize(took)
 		x.forwarder.config.Fleet.ObserveLatency(backend.ID, x.forwarder.latencies.normalized(x.route.Name, usual))
 		x.forwarder.latencies.observe(x.route.Name, took, hasFreeSlot(&backend))
 	}
--- a/internal/gatewaynode/storenode/apply.go
+++ b/internal/gatewaynode/storenode/apply.go
@@ -55,7 +55,7 @@
 			removed = append(removed, row.Key)
 			continue
 		}
-		instance.Cold = max(instance.Cold, n.coldZones.left(instance.Zone, time.Now()))
+		instance.ColdDuration = max(instance.ColdDuration, n.coldZones.left(instance.Zone, time.Now()))
 		if !first {
 			n.noteInstance(instance)
 		}
@@ -92,9 +92,9 @@
 func (n *Node) noteInstance(instance fleet.Instance) {
 	now := time.Now()
 	held, found := n.fleet.Get(instance.ID, now)
-	if instance.Cold > 0 && (!found || instance.Revision > held.Revision && !held.Cold(now)) {
+	if instance.ColdDuration > 0 && (!found || instance.Revision > held.Revision && !held.Cold(now)) {
 		n.config.Log.Info(eventlog.BackendCold, eventlog.Fields{
-			eventlog.Backend: instance.ID, eventlog.Service: instance.Service, "cold_ms": instance.Cold.Milliseconds(), eventlog.Revision: instance.Revision,
+			eventlog.Backend: instance.ID, eventlog.Service: instance.Service, "cold_ms": instance.ColdDuration.Milliseconds(), eventlog.Revision: instance.Revision,
 		})
 	}
 	if found && held.Draining == instance.Draining {
--- a/internal/gatewaynode/storenode/digest.go
+++ b/internal/gatewaynode/storenode/digest.go
@@ -117,7 +117,7 @@
 	}
 	encoded, err := json.Marshal(backendDigest{
 		Service: b.Service, Address: b.Address, Zone: b.Zone, Slots: b.Slots, Draining: b.Draining,
-		Models: slices.Sorted(maps.Keys(b.Instance.Models)), Born: b.Born, ColdMillis: b.Instance.Cold.Milliseconds(),
+		Models: slices.Sorted(maps.Keys(b.Instance.Models)), Born: b.StartedAt, ColdMillis: b.Instance.ColdDuration.Milliseconds(),
 	})
 	if err != nil {
 		panic("storenode: a back end cannot be encoded: " + err.Error())
@@ -137,7 +137,7 @@
 	}
 	instance := fleet.Instance{
 		ID: row.Key, Service: told.Service, Address: told.Address, Zone: told.Zone, Slots: told.Slots, Draining: told.Draining,
-		Cold: time.Duration(told.ColdMillis) * time.Millisecond, Born: told.Born, Revision: row.Revision,
+		ColdDuration: time.Duration(told.ColdMillis) * time.Millisecond, StartedAt: told.Born, Revision: row.Revision,
 	}
 	if len(told.Models) > 0 {
 		instance.Models = make(map[string]int64, len(told.Models))
