--- a/internal/gatewaynode/batch/checkpoint.go
+++ b/internal/gatewaynode/batch/checkpoint.go
@@ -106,7 +106,7 @@
 }
 
 // unsavedItems returns the indices of the items with output to store, those with the most
-// unsavedItems events first.
+// unsaved events first.
 func (j *ownedJob) unsavedItems(age time.Duration) []int {
 	var found []int
 	for i := range j.items {
--- a/internal/gatewaynode/batch/commit.go
+++ b/internal/gatewaynode/batch/commit.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// awaitHold waits until the finished results have to be committed; see holdLeft.
+// awaitHold waits until the finished results have to be committed; see remainingHold.
 func (r *runner) awaitHold(job *ownedJob) {
 	for {
 		r.mu.Lock()
--- a/internal/gatewaynode/batch/groups_test.go
+++ b/internal/gatewaynode/batch/groups_test.go
@@ -45,7 +45,7 @@
 			test.job.ctx = context.Background()
 		}
 		if got := test.job.remainingHold(test.route, &lengths{}, now); got != test.want && got != test.want-1 {
-			t.Errorf("%s: holdLeft = %d ms, want %d ms", test.name, got, test.want)
+			t.Errorf("%s: remainingHold = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 			finished: []finishedItem{{at: clock.At(now) - held}}, head: Head{SubmittedMillis: now.Add(-test.age).UnixMilli()},
 		}
 		if got := job.remainingHold(due, test.known, now); got < test.want-2 || got > test.want {
-			t.Errorf("%s: holdLeft = %d ms, want %d ms", test.name, got, test.want)
+			t.Errorf("%s: remainingHold = %d ms, want %d ms", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/gatewaynode/batch/manager.go
+++ b/internal/gatewaynode/batch/manager.go
@@ -105,7 +105,7 @@
 	runner *runner
 	// confinements are the region restrictions of the current configuration.
 	confinements confinements
-	// lastDropConfig is the configuration for which forget ran last.
+	// lastDropConfig is the configuration for which dropDisallowed ran last.
 	lastDropConfig atomic.Pointer[routetable.Table]
 
 	mu       sync.Mutex
--- a/internal/gatewaynode/batch/memory_test.go
+++ b/internal/gatewaynode/batch/memory_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestUsageOfRuns checks that current usage is counted exactly, and that expected usage follows the
-// length hints until items exceed them.
+// TestUsageOfRuns checks that current usage is counted exactly, and that expected usage follows
+// the length hints until items exceed them.
 func TestUsageOfRuns(t *testing.T) {
 	r := newRunner(nil)
 	for range 100 {
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestMoveReservesSlot checks that a slot is reserved at the backend that an item is being moved to
-// and that a reserved slot is not available to other items.
+// TestMoveReservesSlot checks that a slot is reserved at the backend that an item is being moved
+// to and that a reserved slot is not available to other items.
 func TestMoveReservesSlot(t *testing.T) {
 	r := newRunner(nil)
 	job := &ownedJob{ready: true, spec: &Spec{Model: "m", Items: make([]Item, 2)}, items: make([]itemState, 2)}
--- a/internal/gatewaynode/batch/owner.go
+++ b/internal/gatewaynode/batch/owner.go
@@ -39,7 +39,7 @@
 	changingOwner bool // this node is changing the owner
 	// disallowedHere is set if the job is not allowed in this node's region.
 	disallowedHere bool
-	// leftRecently is set if this node handed the job over less than leaveRest ago.
+	// leftRecently is set if this node handed the job over less than minLeaveInterval ago.
 	leftRecently bool
 	// owner is the liveness of the owner if that is another node.
 	owner presence.Liveness
--- a/internal/gatewaynode/batch/pace.go
+++ b/internal/gatewaynode/batch/pace.go
@@ -65,7 +65,7 @@
 	return 0
 }
 
-// typicalPace returns the typicalQuantile of the known paces in the pool, or usualPace if
+// typicalPace returns the typicalQuantile of the known paces in the pool, or defaultPace if
 // there are none.
 func typicalPace(pool []fleet.Backend, now time.Time) time.Duration {
 	var paces []time.Duration
--- a/internal/gatewaynode/batch/patience_test.go
+++ b/internal/gatewaynode/batch/patience_test.go
@@ -21,7 +21,7 @@
 		{"too few items running", demand{running: 3, left: 11, work: 200, longest: 100}, 10, 4, false},
 		{"the long item itself", demand{running: 7, left: 11, work: 200, longest: 100}, 100, 4, false},
 		{"item with half of the longest length", demand{running: 7, left: 11, work: 200, longest: 100}, 50, 4, false},
-		{"outlier limited to spreadMost times the mean", demand{running: 3, left: 12, work: 1200, longest: 100000}, 10, 4, false},
+		{"outlier limited to maxSpread times the mean", demand{running: 3, left: 12, work: 1200, longest: 100000}, 10, 4, false},
 	} {
 		if got := test.demand.parallel(); got != test.parallel {
 			t.Errorf("%s: parallel = %d, want %d", test.name, got, test.parallel)
--- a/internal/gatewaynode/batch/place_test.go
+++ b/internal/gatewaynode/batch/place_test.go
@@ -205,7 +205,7 @@
 	} {
 		got := test.item.priorityOffset()
 		if got != test.want {
-			t.Errorf("%s: behind = %d, want %d", test.name, got, test.want)
+			t.Errorf("%s: priorityOffset = %d, want %d", test.name, got, test.want)
 		}
 		for rank := range 12 {
 			own := upstream.PriorityOf(rank, got)
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -93,8 +93,8 @@
 	return m.config.Presence.SelfKeepsWithin(m.confinements.of(m.config.Routes()), now)
 }
 
-// JobsWaitingForRegion returns the number of unfinished jobs that no node can run at present, because
-// there is none in a region in which they are allowed.
+// JobsWaitingForRegion returns the number of unfinished jobs that no node can run at present,
+// because there is none in a region in which they are allowed.
 func (m *Manager) JobsWaitingForRegion() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +107,7 @@
 	return count
 }
 
-// noteWaiting records whether a job waits for a node in one of its regions. If tell is set,
+// noteWaiting records whether a job waits for a node in one of its regions. If logChange is set,
 // it logs a change; only one node does so for each job. The caller holds m.mu.
 func (m *Manager) noteWaiting(state *jobState, regions place.Regions, waiting, logChange bool) {
 	if state.waiting == waiting {
@@ -131,13 +131,13 @@
 // Text that is not stored by then is generated again.
 const leaveTimeout = 2 * time.Second
 
-// minLeaveInterval is the minimum time between two hand-overs of a job by this node. Without it, two
-// nodes with different versions of the configuration would pass the job back and forth as fast
-// as the store responds.
+// minLeaveInterval is the minimum time between two hand-overs of a job by this node. Without
+// it, two nodes with different versions of the configuration would pass the job back and forth
+// as fast as the store responds.
 const minLeaveInterval = time.Second
 
-// leaveRegion stops the runs of a job that is no longer allowed in this node's region, hands the job
-// over to a node in an allowed region, if there is one, and drops its data from memory.
+// leaveRegion stops the runs of a job that is no longer allowed in this node's region, hands
+// the job over to a node in an allowed region, if there is one, and drops its data from memory.
 func (m *Manager) leaveRegion(ctx context.Context, id string) {
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -152,9 +152,9 @@
 	m.noteWaiting(current, regions, waits, true)
 }
 
-// dropDisallowed drops the specifications and texts of jobs that are not allowed in this region from
-// memory. It runs after each change of the configuration; data that is not allowed under the
-// current one is never kept.
+// dropDisallowed drops the specifications and texts of jobs that are not allowed in this region
+// from memory. It runs after each change of the configuration; data that is not allowed under
+// the current one is never kept.
 func (m *Manager) dropDisallowed() {
 	m.specs.retain(func(job string) bool {
 		state, found := m.snapshot(job)
--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -362,8 +362,8 @@
 	staleVersionPause = 500 * time.Millisecond
 )
 
-// recordBackendFailure suspends the backend of a failed run or counts a failure against it, depending
-// on the error. It does neither if the job was closed, the item was moved, stopped or
+// recordBackendFailure suspends the backend of a failed run or counts a failure against it,
+// depending on the error. It does neither if the job was closed, the item was moved, stopped or
 // expired, or the failure may be due to the item. errSilent is a failure of the backend,
 // although this node cancels the run.
 func (r *runner) recordBackendFailure(run *run, err error) {
--- a/internal/gatewaynode/batch/runner.go
+++ b/internal/gatewaynode/batch/runner.go
@@ -43,8 +43,8 @@
 	startDelay time.Duration
 	runs       int
 	firstStart time.Time
-	// sequence counts how often the output was started over; savedEvents is the number of events
-	// of the current sequence that are stored.
+	// sequence counts how often the output was started over; savedEvents is the number of
+	// events of the current sequence that are stored.
 	sequence, savedEvents int
 	// savedComplete is set if the complete output is stored.
 	savedComplete bool
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// schedulingRound holds the backends of each service during one scheduling round. It accounts for the
-// requests that the round assigns.
+// schedulingRound holds the backends of each service during one scheduling round. It accounts
+// for the requests that the round assigns.
 type schedulingRound struct {
 	fleet    *fleet.Fleet
 	reach    Reach
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -87,7 +87,7 @@
 	return cost
 }
 
-// scoreLatency returns the scoring latency of b, or scoreUsual if it is unknown.
+// scoreLatency returns the scoring latency of b, or defaultScoreLatency if it is unknown.
 func scoreLatency(b *fleet.Backend) time.Duration {
 	if b.ScoreLatency == 0 {
 		return defaultScoreLatency
@@ -125,8 +125,8 @@
 	return clock.Of(max(hedgeLatencies*lowestScoreLatency(pool), time.Duration(hedgeTargets*float64(route.Target))))
 }
 
-// lowestScoreLatency returns the lowest known scoring latency in the pool, or scoreUsual if none is
-// known.
+// lowestScoreLatency returns the lowest known scoring latency in the pool, or
+// defaultScoreLatency if none is known.
 func lowestScoreLatency(pool []fleet.Backend) time.Duration {
 	usual := time.Duration(0)
 	for i := range pool {
--- a/internal/gatewaynode/batch/text.go
+++ b/internal/gatewaynode/batch/text.go
@@ -73,7 +73,7 @@
 
 func newKeptTexts() keptTexts { return keptTexts{texts: make(map[string]keptText)} }
 
-// put keeps a text and drops the oldest ones beyond keptMost.
+// put keeps a text and drops the oldest ones beyond maxKeptTexts.
 func (k *keptTexts) put(item string, made text, of residency) {
 	if _, found := k.texts[item]; !found {
 		k.order = append(k.order, item)
--- a/internal/gatewaynode/batch/text_test.go
+++ b/internal/gatewaynode/batch/text_test.go
@@ -68,8 +68,8 @@
 	return rowstore.Row{RowID: partialID("job", item, sequence, from), Value: encode(row)}
 }
 
-// TestDecodePartials checks that rows of different sequences, which different owners wrote, are not
-// combined, and that a gap ends the text.
+// TestDecodePartials checks that rows of different sequences, which different owners wrote, are
+// not combined, and that a gap ends the text.
 func TestDecodePartials(t *testing.T) {
 	rows := []rowstore.Row{
 		// Item 0: one sequence in two rows.
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -24,7 +24,7 @@
 var errQueued = errors.New("backend had no free slot for too long")
 
 // errGap means that a resumed stream did not continue with the next event.
-var errGap = errors.New("event ID does not follow the previous one")
+var errGap = errors.New("event id out of sequence")
 
 // streamState is the progress of a stream towards the caller.
 type streamState struct {
