--- a/internal/gatewaynode/quarantine/doc.go
+++ b/internal/gatewaynode/quarantine/doc.go
@@ -41,6 +41,6 @@
 //
 // A node remembers at most maxSuspects works, follows maxRuns calls and queues
 // maxQueuedRows rows for writing, of which singleFailureQueueLimit may belong to works with a
-// single failure. Whatever exceeds these is dropped, and Tracker.Dropped counts calls and rows; works with fewer
-// failures are dropped first.
+// single failure. Whatever exceeds these is dropped, and Tracker.Dropped counts calls and
+// rows; works with fewer failures are dropped first.
 package quarantine
