--- a/internal/gatewaynode/coldstart/coldstart.go
+++ b/internal/gatewaynode/coldstart/coldstart.go
@@ -14,8 +14,8 @@
 // together are half of the limit. A node that may have been dropped by the others' views has no
 // share.
 //
-// A share counts requests at the moment of sending over a sliding window, so that a process that
-// resumes after a pause sends no more than its share.
+// Requests are counted against a share at the moment of sending, over a sliding window, so that
+// a process that resumes after a pause sends no more than its share.
 package coldstart
 
 import (
@@ -37,7 +37,8 @@
 	Overage, Slack float64
 }
 
-// Bound returns the maximum number of requests in any second from all nodes together.
+// Bound returns the maximum number of requests in any second from all nodes together. It is
+// meaningful only if Enabled reports true.
 func (l Limits) Bound() int { return int(l.PerSecond*l.Overage + l.Slack) }
 
 // Enabled reports whether there is a limit.
--- a/internal/gatewaynode/fingerprint/fingerprint.go
+++ b/internal/gatewaynode/fingerprint/fingerprint.go
@@ -1,8 +1,8 @@
 // Package fingerprint computes keyed hashes that identify requests by their content.
 //
 // Two requests have the same fingerprint if host, target, tenant and body are equal. The
-// method, the request id and the other header fields are left out, because a caller that
-// retries sends a new id and a new deadline.
+// method, the request ID and the other header fields are left out, because a caller that
+// retries sends a new ID and a new deadline.
 //
 // All nodes of a deployment use the same key, which is kept in the store. Because the hash
 // is keyed, a reader of logs or stored rows cannot recover a request by hashing guesses.
--- a/internal/gatewaynode/fingerprint/fingerprint_test.go
+++ b/internal/gatewaynode/fingerprint/fingerprint_test.go
@@ -47,8 +47,7 @@
 	}
 }
 
-// BenchmarkOf measures the cost added to each request: 600 bytes is a typical body, 1 MiB
-// the largest answer that is buffered.
+// BenchmarkOf measures the cost added to each request; 600 bytes is a typical body.
 func BenchmarkOf(b *testing.B) {
 	key := fingerprint.NewKey()
 	for _, size := range []int{0, 600, 64 << 10, 1 << 20} {
--- a/internal/gatewaynode/forward/admit.go
+++ b/internal/gatewaynode/forward/admit.go
@@ -104,7 +104,7 @@
 	return max(waitBehind(taken-slots), reported)
 }
 
-// hasFreeSlot reports whether a backend has a slot hasFreeSlot for one more request.
+// hasFreeSlot reports whether a backend has a free slot for one more request.
 func hasFreeSlot(backend *fleet.Backend) bool {
 	return backend.Waiting == 0 && backend.InFlight+backend.OthersRunning < max(backend.Slots, 1)
 }
--- a/internal/gatewaynode/forward/began.go
+++ b/internal/gatewaynode/forward/began.go
@@ -24,8 +24,9 @@
 	// maxUnreadDelay is how long, beyond a round trip, a connection may stay open after a call
 	// was sent on it that the peer never reads: its process may wait for a CPU.
 	maxUnreadDelay = 50 * time.Millisecond
-	// maxBackendSilence is how long a backend is assumed to be working on a call without
-	// sending anything, on routes with a shorter usual latency.
+	// maxBackendSilence is the least time, beyond a round trip, after which a connection that
+	// closes without a response is taken for one lost on a dead link. The time is longer on
+	// routes for which hedgeLatencies usual latencies are longer.
 	maxBackendSilence = 200 * time.Millisecond
 )
 
@@ -38,7 +39,8 @@
 // backend, unless the call was only partly read. For other calls whose connection the peer
 // closed, the first of these that applies decides:
 //
-//   - a connection that closed late is taken for one lost on a dead link: not begun;
+//   - a connection that closed late, on a route with a known usual latency, is taken for one
+//     lost on a dead link: not begun;
 //   - a call that was read whole began;
 //   - a reset call began unless the reset came sooner than responses usually do: a proxy in
 //     front of a dead backend resets every connection unread, whereas a backend that crashes
@@ -120,7 +122,8 @@
 	}
 }
 
-// recordUnanswered records a failed attempt that may have run.
+// recordUnanswered records the send time of a failed attempt, unless it waited for a slot at
+// the backend, and that it likely ran if likelyBegan says so.
 func (x *try) recordUnanswered(err error) {
 	var failure *upstream.Error
 	if !errors.As(err, &failure) {
--- a/internal/gatewaynode/forward/choose.go
+++ b/internal/gatewaynode/forward/choose.go
@@ -27,8 +27,8 @@
 	coldSlowdown = 4
 	// connectCost is the cost of a new connection besides its round trip, as a share of
 	// defaultLatency: it briefly takes a slot of the backend, and memory on both sides. It
-	// keeps a node with the backends that it is connected to despite the usual variation of
-	// response times, and lets it switch to one that is faster by about half.
+	// keeps a node from switching backends because response times vary, and still lets it
+	// switch to a much faster one.
 	connectCost = 0.5
 	// distanceWeight is the share of the network distance that is added to the latency. A
 	// measured latency already includes the round trip; traffic between zones and regions has
--- a/internal/gatewaynode/forward/forward.go
+++ b/internal/gatewaynode/forward/forward.go
@@ -11,8 +11,10 @@
 //
 // A request that must not be repeated is retried only if the attempt before was not sent or
 // not run. Others are retried after any failure, and hedged once if an attempt is slow, within
-// the route's number of attempts. A response is buffered until it is complete, so that a
-// truncated one is never passed on as complete; streams and long responses are not.
+// the route's number of attempts. A response of up to maxBufferedBody bytes is buffered until
+// it is complete, so that the node never passes on a part of it as complete; event streams and
+// longer responses are passed on as they arrive. On a stream route, a response that is not an
+// event stream is cut at maxBufferedBody bytes and passed on as if it were complete.
 package forward
 
 import (
@@ -80,10 +82,10 @@
 	// Reasons counts, for a refused request, the ineligible backends by the label of the
 	// reason.
 	Reasons map[string]int
-	// Began is an estimate of when the request began to run at the first backend that took
-	// it, zero if none did. Backends do not report the time. It is the send time of the
-	// attempt that got a response or, for a stream, the arrival of its first event. Without
-	// any response it is the send time of the first attempt that likely ran, see likelyBegan.
+	// Began is an estimate of when the request began to run, since backends do not report the
+	// time. It is the earliest send time of the attempts that got a response, for an event
+	// stream the arrival of the first event. Without either it is the earliest send time of the
+	// attempts that likely ran, see likelyBegan, or that this node aborted; zero if there are none.
 	Began time.Time
 	// BeganBy is the evidence that the request began to run, empty if it did not.
 	BeganBy Evidence
@@ -144,9 +146,10 @@
 	// maxBufferedBody is the size in bytes up to which a response body is buffered until it is
 	// complete.
 	maxBufferedBody = 1 << 20
-	// maxRefusals bounds the backends' refusals of one request, and maxRefusalsSpare those
-	// while there is spare capacity: some backends refuse regardless of their load, and a
-	// request must not fail because of them.
+	// maxRefusals bounds the attempts of one request that backends refused or that could not
+	// be sent. maxRefusalsSpare takes its place if there was spare capacity at the admission
+	// decision: some backends refuse regardless of their load, and a request must not fail
+	// because of them.
 	maxRefusals      = 6
 	maxRefusalsSpare = 20
 	// maxWithheld bounds the attempts of one request that this node withholds since the
@@ -252,7 +255,8 @@
 	// out whether it still terminates backends.
 	trial bool
 
-	// sends counts attempts that may have run, refusals those that certainly did not.
+	// sends counts the attempts that are pending, got a response or may have run. refusals
+	// counts those that a backend refused or that could not be sent, but not those withheld.
 	sends    int
 	refusals int
 	// admitted tells that the admission decision was made. capacityDelay is the estimated
@@ -269,7 +273,10 @@
 	tried map[string]int
 	// cause describes the last failure.
 	cause string
-	// unansweredAt is when the last attempt without a response was sent, zero if none was.
+	// unansweredAt is the send time of the failed attempt that was recorded last, or the start
+	// of the attempt that a hedge was considered for; zero if there is neither. Attempts that
+	// certainly did not run count only if the caller left, and those that waited for a slot
+	// at the backend do not count.
 	unansweredAt time.Time
 	// last is the backend of the last attempt.
 	last string
@@ -299,9 +306,9 @@
 	return max(x.route.MaxAttempts, 1)
 }
 
-// endTime returns when the request endTime, taking into account time for which the machine was
+// endTime returns when the request ends, taking into account time for which the machine was
 // suspended. Backends are told this deadline, and no attempt starts after it. The context of
-// the request follows the monotonic clock and endTime later after a suspension.
+// the request follows the monotonic clock and ends later after a suspension.
 func (x *try) endTime() time.Time { return x.limit.Add(-x.began.Since()) }
 
 // maySend reports whether one more attempt is allowed.
@@ -316,7 +323,7 @@
 	return !x.mayHaveRun || x.repeatable()
 }
 
-// maxRefusals returns the number of refusals by backends that end the request.
+// maxRefusals returns the number of attempts refused or not sent at which the request ends.
 func (x *try) maxRefusals() int {
 	if x.spareCapacity {
 		return maxRefusalsSpare
--- a/internal/gatewaynode/forward/rankbudget.go
+++ b/internal/gatewaynode/forward/rankbudget.go
@@ -34,8 +34,8 @@
 	// budgetTTL is how long a budget counts after the last request with it.
 	budgetTTL = 5 * time.Second
 	// lowerRankShare is the share of a higher rank's budget that the queue may reach with
-	// requests of lower ranks. Service times are estimated to about a tenth; a share near 1
-	// lets lower ranks displace higher ones under overload.
+	// requests of lower ranks. The rest allows for errors in the estimated service times, which
+	// would otherwise let lower ranks displace higher ones under overload.
 	lowerRankShare = 0.6
 	// maxBudgetKeys bounds the number of pairs of service and regions.
 	maxBudgetKeys = 1000
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -35,8 +35,8 @@
 	hasLast bool
 }
 
-// serveStream serves requests whose response is an event serveStream, and passes complete events on as
-// they arrive. If a backend fails and the route allows it, the serveStream resumes at another
+// serveStream serves requests whose response is an event stream, and passes complete events on
+// as they arrive. If a backend fails and the route allows it, the stream resumes at another
 // backend after the last event; the response header stays that of the first backend.
 func (x *try) serveStream(ctx context.Context, w http.ResponseWriter) Report {
 	state := &streamState{writer: w}
@@ -115,7 +115,8 @@
 	return answer.Status == http.StatusOK && strings.HasPrefix(kind, "text/event-stream")
 }
 
-// relayPlain handles a response that is not an event stream, usually an error.
+// relayPlain handles a response that is not an event stream, usually an error. It cuts the
+// body at maxBufferedBody bytes and passes it on as a complete response.
 func (x *try) relayPlain(state *streamState, backend fleet.Backend, answer *upstream.Answer) (Report, bool) {
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err == nil && state.started {
@@ -149,7 +150,7 @@
 
 // maxStreamSilence bounds the wait for the first and each further event of a stream that can
 // resume at another backend. Callers abandon a stream after two seconds or more without an
-// event; the time left has to suffice for the first event of the other backend.
+// event, so the other backend needs time to send its first event before that.
 const maxStreamSilence = 1200 * time.Millisecond
 
 // watchdog ends an attempt at a resumable stream if no event arrives for maxStreamSilence.
--- a/internal/gatewaynode/place/distance.go
+++ b/internal/gatewaynode/place/distance.go
@@ -39,8 +39,8 @@
 	// measurementTTL is how long a measurement is used. Afterwards the default applies again,
 	// so that a zone that looked distant once is tried again.
 	measurementTTL = time.Minute
-	// riseWeight is the weight of a measurement above the current estimate. A busy back
-	// end accepts connections late, so that a connect time is an upper bound of the round
+	// riseWeight is the weight of a measurement above the current estimate. A busy
+	// backend accepts connections late, so that a connect time is an upper bound of the round
 	// trip; lower measurements replace the estimate at once.
 	riseWeight = 0.1
 )
--- a/internal/gatewaynode/place/place.go
+++ b/internal/gatewaynode/place/place.go
@@ -1,4 +1,4 @@
-// Package place describes the location of nodes, back ends and callers. A zone is a group
+// Package place describes the location of nodes, backends and callers. A zone is a group
 // of machines that may fail together; a region is a group of zones with low latency between
 // them. The types Place, Map and Regions are immutable values.
 package place
