--- a/internal/gatewaynode/forward/buffered.go
+++ b/internal/gatewaynode/forward/buffered.go
@@ -57,7 +57,7 @@
 		select {
 		case result := <-results:
 			delete(pending, result.sent)
-			if x.settled(result) {
+			if x.recordResult(result) {
 				return x.relay(w, result)
 			}
 			if result.answer != nil {
@@ -133,8 +133,8 @@
 	}
 }
 
-// settled records a result and reports whether it ends the request.
-func (x *try) settled(result attemptResult) bool {
+// recordResult records a result and reports whether it ends the request.
+func (x *try) recordResult(result attemptResult) bool {
 	if result.err != nil {
 		x.recordFailure(result.backend, result.err)
 		return false
--- a/internal/gatewaynode/forward/subset_test.go
+++ b/internal/gatewaynode/forward/choose_node_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// settled returns a node that has sent some requests, the backend that it uses, and the time.
-func settled(t *testing.T, backends []fleet.Instance) (*sender, fleet.Backend, time.Time) {
+// steadyNode returns a node that has sent some requests, the backend that it uses, and the time.
+func steadyNode(t *testing.T, backends []fleet.Instance) (*sender, fleet.Backend, time.Time) {
 	t.Helper()
 	node := newSender("n", "a", threeZones, backends)
 	now := chooseNow
@@ -170,7 +170,7 @@
 			}
 		}},
 	} {
-		node, kept, now := settled(t, backends)
+		node, kept, now := steadyNode(t, backends)
 		test.change(node, kept, now)
 		if next := node.choose(t, now); next.ID == kept.ID || next.Zone != "a" {
 			t.Errorf("%s: switches from %s to %s in zone %s", test.name, kept.ID, next.ID, next.Zone)
@@ -180,7 +180,7 @@
 
 // TestNodeStaysDespiteSlowResponse checks that a single slow response causes no switch.
 func TestNodeStaysDespiteSlowResponse(t *testing.T) {
-	node, kept, now := settled(t, instances(9, "a", "b", "c"))
+	node, kept, now := steadyNode(t, instances(9, "a", "b", "c"))
 	node.fleet.ObserveLatency(kept.ID, 2*defaultLatency)
 	if next := node.choose(t, now); next.ID != kept.ID {
 		t.Errorf("switches to %s after one response that took twice as long", next.ID)
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -48,14 +48,14 @@
 	meanServiceTime = 25 * time.Millisecond
 )
 
-// queueingBackend is a backend with a limited number of slots and a FIFO queueingBackend.
+// queueingBackend is a backend with a limited number of slots and a FIFO queue.
 type queueingBackend struct {
 	mu      sync.Mutex
 	waiting int
 	running int
 	slots   chan struct{}
-	// shed makes the backend refuse every request.
-	shed bool
+	// refusing makes the backend refuse every request.
+	refusing bool
 }
 
 // count changes the numbers of waiting and running requests. It returns the load to report,
@@ -63,7 +63,7 @@
 func (q *queueingBackend) count(waiting, running int) (load string, full bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if waiting > 0 && (q.waiting >= maxQueued || q.shed) {
+	if waiting > 0 && (q.waiting >= maxQueued || q.refusing) {
 		return fmt.Sprint(q.running, " ", q.waiting, " ", queueSlots), true
 	}
 	q.waiting += waiting
@@ -339,7 +339,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := newTestCluster(t, 1, latencyBudget)
 		defer o.close()
-		o.queues[0].shed = true
+		o.queues[0].refusing = true
 		got := summarize(o.generateLoad(routeOf(0, overloadTarget), 0.2, 3*time.Second))
 		if got.refused+got.failed > 0 {
 			t.Errorf("one of %d backends refuses every request: %+v, want none refused or failed", overloadBackends, got)
@@ -356,11 +356,11 @@
 	}
 	ask := AdmissionRequest{Left: 800 * time.Millisecond, Target: 100 * time.Millisecond, ServiceTime: serviceTime}
 	cases := []struct {
-		name    string
-		pool    []fleet.Backend
-		ask     AdmissionRequest
-		refused bool
-		room    time.Duration
+		name          string
+		pool          []fleet.Backend
+		ask           AdmissionRequest
+		refused       bool
+		capacityDelay time.Duration
 	}{
 		{"no backends", nil, ask, false, 0},
 		{"all free", []fleet.Backend{candidate("a", nil)}, ask, false, 0},
@@ -385,17 +385,17 @@
 	}
 	for _, test := range cases {
 		got := Admit(test.pool, test.ask, latencyBudget(test.ask), chooseNow)
-		if got.Refused != test.refused || got.CapacityDelay != test.room {
-			t.Errorf("%s: %+v, want refused %t, capacity after %s", test.name, got, test.refused, test.room)
+		if got.Refused != test.refused || got.CapacityDelay != test.capacityDelay {
+			t.Errorf("%s: %+v, want refused %t, capacity after %s", test.name, got, test.refused, test.capacityDelay)
 		}
 	}
 }
 
 func TestRetryDelay(t *testing.T) {
 	cases := []struct {
-		room, left time.Duration
-		chance     float64
-		want       time.Duration
+		capacityDelay, left time.Duration
+		random              float64
+		want                time.Duration
 	}{
 		{100 * time.Millisecond, time.Second, 0.5, 100 * time.Millisecond},
 		{100 * time.Millisecond, time.Second, 0, 50 * time.Millisecond},
@@ -405,8 +405,8 @@
 		{time.Second, 0, 0.5, time.Millisecond},
 	}
 	for _, test := range cases {
-		if got := RetryDelay(test.room, test.left, test.chance); got != test.want {
-			t.Errorf("capacity after %s, %s left, random %.1f: %s, want %s", test.room, test.left, test.chance, got, test.want)
+		if got := RetryDelay(test.capacityDelay, test.left, test.random); got != test.want {
+			t.Errorf("capacity after %s, %s left, random %.1f: %s, want %s", test.capacityDelay, test.left, test.random, got, test.want)
 		}
 	}
 }
--- a/internal/gatewaynode/forward/rankbudget_test.go
+++ b/internal/gatewaynode/forward/rankbudget_test.go
@@ -10,21 +10,21 @@
 // TestUnattainableBudgetIsIgnored checks that a budget shorter than the service time does not
 // restrict lower ranks, since that request is late in any case.
 func TestUnattainableBudgetIsIgnored(t *testing.T) {
-	const work, budget = 100 * time.Millisecond, time.Second
+	const serviceTime, budget = 100 * time.Millisecond, time.Second
 	for _, test := range []struct {
-		name       string
-		work, high time.Duration
-		want       time.Duration
+		name              string
+		serviceTime, high time.Duration
+		want              time.Duration
 	}{
-		{"below the service time", work, work - 1, budget},
-		{"equal to the service time", work, work, 60 * time.Millisecond},
-		{"service time not known", 0, work - 1, 59999999 * time.Nanosecond},
+		{"below the service time", serviceTime, serviceTime - 1, budget},
+		{"equal to the service time", serviceTime, serviceTime, 60 * time.Millisecond},
+		{"service time not known", 0, serviceTime - 1, 59999999 * time.Nanosecond},
 	} {
 		u, now := newRankBudgets(), time.Now()
-		if got := u.bound(budgetKey{service: "s"}, 0, test.work, test.high, now); got != test.high {
+		if got := u.bound(budgetKey{service: "s"}, 0, test.serviceTime, test.high, now); got != test.high {
 			t.Errorf("%s: budget of rank 0 is %s, want %s", test.name, got, test.high)
 		}
-		if got := u.bound(budgetKey{service: "s"}, 1, test.work, budget, now); got != test.want {
+		if got := u.bound(budgetKey{service: "s"}, 1, test.serviceTime, budget, now); got != test.want {
 			t.Errorf("%s: budget of rank 1 is %s, want %s", test.name, got, test.want)
 		}
 	}
