--- a/internal/gatewaynode/forward/linger_test.go
+++ b/internal/gatewaynode/forward/linger_test.go
@@ -48,8 +48,8 @@
 // Value hides the wrapped context from the context package, which would bypass AfterFunc.
 func (endingContext) Value(any) any { return nil }
 
-// TestAttemptsEndWithARequestThatSeesTheEndFirst checks that attempts end at once if the request sees the
-// end of its context before the context has started its AfterFuncs.
+// TestAttemptsEndWithARequestThatSeesTheEndFirst checks that attempts end at once if
+// the request sees the end of its context before the context has started its AfterFuncs.
 func TestAttemptsEndWithARequestThatSeesTheEndFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gatewaynode/forward/overload_test.go
+++ b/internal/gatewaynode/forward/overload_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// generateLoad sends requests at a multiple of the backends' capacity and returns the results of the
-// callers, except for those that start in the first second.
+// generateLoad sends requests at a multiple of the backends' capacity and returns the
+// results of the callers, except for those that start in the first second.
 func (o *testCluster) generateLoad(route *routetable.Route, load float64, duration time.Duration) []callerResult {
 	var mu sync.Mutex
 	var all []callerResult
