--- a/internal/gatewaynode/batch/run.go
+++ b/internal/gatewaynode/batch/run.go
@@ -76,7 +76,7 @@
 		request: r.requestOf(job, index, route), work: item.work, markSent: r.unsent.begin(backend.ID),
 	}
 	if !item.trial {
-		started.request.Work = item.work
+		started.request.Fingerprint = item.work
 	}
 	item.trial = false
 	if route.MaxQueue > 0 {
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -109,7 +109,7 @@
 	}
 	pool := p.service(route.Pick(uint64(index+state.sends), 0)).backends
 	request := r.scoreRequest(job, route)
-	request.Work = state.work
+	request.Fingerprint = state.work
 	want := scorerWant{Request: request}
 	if len(state.calls) > 0 {
 		first := state.calls[0]
--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -25,8 +25,8 @@
 
 // Request holds the properties of a request that affect eligibility.
 type Request struct {
-	// Work is the fingerprint of the request. The zero value exempts it from quarantine.
-	Work fingerprint.Fingerprint
+	// Fingerprint is the fingerprint of the request. The zero value exempts it from quarantine.
+	Fingerprint fingerprint.Fingerprint
 	// Regions is the set of regions allowed by both its route and its tenant.
 	Regions place.Regions
 	// Model is the required model, empty for any.
@@ -71,7 +71,7 @@
 // Decide returns the reason why a back end may not get a request, nil if it may. It is a
 // pure function.
 func (w *Snapshot) Decide(b *fleet.Backend, r Request) Reason {
-	if ends := w.QuarantineFailures(r.Work); ends > 0 {
+	if ends := w.QuarantineFailures(r.Fingerprint); ends > 0 {
 		return Quarantined{Failures: ends}
 	}
 	if reason := w.checkBackend(b, r); reason != nil {
--- a/internal/gatewaynode/forward/eligible.go
+++ b/internal/gatewaynode/forward/eligible.go
@@ -14,7 +14,7 @@
 func (x *try) eligibilityRequest() eligibility.Request {
 	wants := eligibility.Request{Regions: x.regions(), Model: x.request.Model}
 	if !x.trial {
-		wants.Work = x.fingerprint
+		wants.Fingerprint = x.fingerprint
 	}
 	return wants
 }
