--- a/internal/gatewaynode/coldstart/coldstart_test.go
+++ b/internal/gatewaynode/coldstart/coldstart_test.go
@@ -63,7 +63,7 @@
 		allowed bool
 	}{{0, true}, {600, true}, {700, false}, {1099, false}, {1100, true}, {1101, false}, {1700, true}} {
 		if got := limiter.Allow("b", 2, at(step.ms)); got != step.allowed {
-			t.Errorf("Take at %d ms = %t, want %t", step.ms, got, step.allowed)
+			t.Errorf("Allow at %d ms = %t, want %t", step.ms, got, step.allowed)
 		}
 	}
 	if remaining := limiter.Remaining("b", 2, at(1800)); remaining != 0 {
--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -5,8 +5,8 @@
 //
 // # Invariants
 //
-//   - The decision is a pure function of a back end, a request and a World, which is a
-//     snapshot of the node's state.
+//   - The decision is a pure function of a back end, a request and a Snapshot of the
+//     node's state.
 //   - This package only excludes back ends. Callers rank the eligible ones.
 //   - A call is sent only after Gate.Admit has admitted it on an established connection,
 //     because the process may have been suspended, or have waited for a connection, since
@@ -25,7 +25,7 @@
 
 // Request holds the properties of a request that affect eligibility.
 type Request struct {
-	// Fingerprint is the fingerprint of the request. The zero value exempts it from quarantine.
+	// Fingerprint identifies the request. The zero value exempts it from quarantine.
 	Fingerprint fingerprint.Fingerprint
 	// Regions is the set of regions allowed by both its route and its tenant.
 	Regions place.Regions
@@ -41,8 +41,8 @@
 	// Durable is set for requests of jobs. They survive the loss of this node, and so wait
 	// if the node's list of evacuations is out of date.
 	Durable bool
-	// AvoidCold is set for requests that wait until no back end is cold and leave the capacity
-	// of cold ones to others.
+	// AvoidCold is set for requests that wait until no back end is cold and leave the
+	// capacity of cold ones to others.
 	AvoidCold bool
 }
 
@@ -51,77 +51,78 @@
 	Now time.Time
 	// Zones maps zones to regions.
 	Zones place.Map
-	// Failures returns how many back ends terminated while they ran a quarantined request, 0
-	// if the request is not quarantined. If Failures is nil, none is.
-	Failures func(work fingerprint.Fingerprint) int
+	// Failures returns how many back ends terminated while they ran a quarantined request,
+	// 0 if the request is not quarantined. If Failures is nil, none is.
+	Failures func(f fingerprint.Fingerprint) int
 	// Evacuations is the set of evacuations in force.
 	Evacuations evacuation.Set
 	// EvacuationsAge is the time since the store last confirmed Evacuations.
 	EvacuationsAge time.Duration
-	// MaxEvacuationsAge is the maximum Age at which Patient requests are sent, 0 for no limit.
+	// MaxEvacuationsAge is the maximum EvacuationsAge at which Durable requests are sent,
+	// 0 for no limit.
 	MaxEvacuationsAge time.Duration
-	// ColdRequestsLeft returns how many requests this node may send to a cold back end now, or
-	// coldstart.Unbounded. If ColdRequestsLeft is nil, the number is unbounded for all back ends.
+	// ColdRequestsLeft returns how many requests this node may send to a cold back end now,
+	// or coldstart.Unbounded. If it is nil, the number is unbounded for all back ends.
 	ColdRequestsLeft func(backend *fleet.Backend) int
-	// ColdRetryDelay returns the time until this node may send another request to a cold back
-	// end, 0 if unknown. If ColdRetryDelay is nil, it is unknown for all back ends.
+	// ColdRetryDelay returns the time until this node may send another request to a cold
+	// back end, 0 if unknown. If it is nil, the time is unknown for all back ends.
 	ColdRetryDelay func(backend *fleet.Backend) time.Duration
 }
 
 // Decide returns the reason why a back end may not get a request, nil if it may. It is a
 // pure function.
-func (w *Snapshot) Decide(b *fleet.Backend, r Request) Reason {
-	if ends := w.QuarantineFailures(r.Fingerprint); ends > 0 {
-		return Quarantined{Failures: ends}
+func (s *Snapshot) Decide(b *fleet.Backend, r Request) Reason {
+	if failures := s.QuarantineFailures(r.Fingerprint); failures > 0 {
+		return Quarantined{Failures: failures}
 	}
-	if reason := w.checkBackend(b, r); reason != nil {
+	if reason := s.checkBackend(b, r); reason != nil {
 		return reason
 	}
 	if reason := checkModel(b, r); reason != nil {
 		return reason
 	}
-	return w.checkCold(b, r)
+	return s.checkCold(b, r)
 }
 
-// QuarantineFailures returns how many back ends terminated while they ran a quarantined request, 0 if
-// the request is not quarantined.
-func (w *Snapshot) QuarantineFailures(work fingerprint.Fingerprint) int {
-	if work.IsZero() || w.Failures == nil {
+// QuarantineFailures returns how many back ends terminated while they ran a quarantined
+// request, 0 if the request is not quarantined.
+func (s *Snapshot) QuarantineFailures(f fingerprint.Fingerprint) int {
+	if f.IsZero() || s.Failures == nil {
 		return 0
 	}
-	return w.Failures(work)
+	return s.Failures(f)
 }
 
 // Eligible reports whether a back end may get a request.
-func (w *Snapshot) Eligible(b *fleet.Backend, r Request) bool { return w.Decide(b, r) == nil }
+func (s *Snapshot) Eligible(b *fleet.Backend, r Request) bool { return s.Decide(b, r) == nil }
 
-// checkCold checks the rate limit of a cold back end. Warm requests are refused even below the
-// limit.
-func (w *Snapshot) checkCold(b *fleet.Backend, r Request) Reason {
-	left := b.ColdUntil.Sub(w.Now)
-	if left <= 0 || w.ColdRequestsLeft == nil {
+// checkCold checks the rate limit of a cold back end. Requests with AvoidCold are refused even
+// below the limit.
+func (s *Snapshot) checkCold(b *fleet.Backend, r Request) Reason {
+	left := b.ColdUntil.Sub(s.Now)
+	if left <= 0 || s.ColdRequestsLeft == nil {
 		return nil
 	}
-	turns := w.ColdRequestsLeft(b)
-	if turns == coldstart.Unbounded || turns > 0 && !r.AvoidCold {
+	remaining := s.ColdRequestsLeft(b)
+	if remaining == coldstart.Unbounded || remaining > 0 && !r.AvoidCold {
 		return nil
 	}
 	return Cold{Left: left}
 }
 
 // checkBackend checks everything that does not depend on the models of a back end.
-func (w *Snapshot) checkBackend(b *fleet.Backend, r Request) Reason {
+func (s *Snapshot) checkBackend(b *fleet.Backend, r Request) Reason {
 	if b.Draining {
 		return Draining{}
 	}
-	if e, evacuated := w.Evacuations[b.Zone]; evacuated {
-		return Evacuated{Zone: b.Zone, Elapsed: w.Now.Sub(e.Since)}
+	if e, evacuated := s.Evacuations[b.Zone]; evacuated {
+		return Evacuated{Zone: b.Zone, Elapsed: s.Now.Sub(e.Since)}
 	}
-	if region := w.Zones.Region(b.Zone); !r.Regions.Has(region) {
+	if region := s.Zones.Region(b.Zone); !r.Regions.Has(region) {
 		return OtherRegion{Region: region, Allowed: r.Regions.String()}
 	}
-	if r.Durable && w.MaxEvacuationsAge > 0 && w.EvacuationsAge > w.MaxEvacuationsAge {
-		return EvacuationsOutdated{Age: w.EvacuationsAge}
+	if r.Durable && s.MaxEvacuationsAge > 0 && s.EvacuationsAge > s.MaxEvacuationsAge {
+		return EvacuationsOutdated{Age: s.EvacuationsAge}
 	}
 	return nil
 }
@@ -158,35 +159,35 @@
 }
 
 // Survey summarizes the eligibility of back ends for a request. It is a pure function.
-func (w *Snapshot) Survey(backends []fleet.Backend, r Request) Survey {
+func (s *Snapshot) Survey(backends []fleet.Backend, r Request) Survey {
 	survey := Survey{Reasons: make(map[string]int)}
 	for i := range backends {
-		reason := w.Decide(&backends[i], r)
+		reason := s.Decide(&backends[i], r)
 		if reason == nil {
 			survey.Eligible++
 			continue
 		}
 		survey.Reasons[reason.Label()]++
 		if cold, is := reason.(Cold); is {
-			survey.noteRoom(w.roomAfter(&backends[i], cold))
+			survey.noteColdWait(s.coldWait(&backends[i], cold))
 		}
 	}
 	return survey
 }
 
-// roomAfter returns the time until a cold back end is warm or may get another request.
-func (w *Snapshot) roomAfter(b *fleet.Backend, cold Cold) time.Duration {
-	if w.ColdRetryDelay == nil {
+// coldWait returns the time until a cold back end is warm or may get another request.
+func (s *Snapshot) coldWait(b *fleet.Backend, cold Cold) time.Duration {
+	if s.ColdRetryDelay == nil {
 		return cold.Left
 	}
-	if next := w.ColdRetryDelay(b); next > 0 {
+	if next := s.ColdRetryDelay(b); next > 0 {
 		return min(next, cold.Left)
 	}
 	return cold.Left
 }
 
-// noteRoom lowers Warm to after.
-func (s *Survey) noteRoom(after time.Duration) {
+// noteColdWait lowers ColdWait to after.
+func (s *Survey) noteColdWait(after time.Duration) {
 	if s.ColdWait == 0 || after < s.ColdWait {
 		s.ColdWait = after
 	}
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -26,11 +26,11 @@
 	evacuated := evacuation.Set{"n1": {Zone: "n1", Since: now.Add(-time.Second)}}
 	cold := func(b *fleet.Backend) { b.ColdUntil = now.Add(2 * time.Second) }
 	cases := []struct {
-		name    string
-		change  func(*fleet.Backend)
-		world   Snapshot
-		request Request
-		want    Reason
+		name     string
+		change   func(*fleet.Backend)
+		snapshot Snapshot
+		request  Request
+		want     Reason
 	}{
 		{"eligible", nil, Snapshot{}, Request{Model: "m", Weights: true, MinVersion: 3}, nil},
 		{"draining", func(b *fleet.Backend) { b.Draining = true }, Snapshot{}, Request{}, Draining{}},
@@ -56,8 +56,8 @@
 	}
 	for _, test := range cases {
 		b := backend(test.change)
-		test.world.Now, test.world.Zones = now, zones
-		if got := test.world.Decide(&b, test.request); got != test.want {
+		test.snapshot.Now, test.snapshot.Zones = now, zones
+		if got := test.snapshot.Decide(&b, test.request); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -70,8 +70,8 @@
 		backend(func(b *fleet.Backend) { b.ColdUntil = now.Add(2 * time.Second) }),
 		backend(func(b *fleet.Backend) { b.ColdUntil = now.Add(time.Second) }),
 	}
-	world := Snapshot{Now: now, ColdRequestsLeft: func(*fleet.Backend) int { return 0 }}
-	survey := world.Survey(backends, Request{})
+	snapshot := Snapshot{Now: now, ColdRequestsLeft: func(*fleet.Backend) int { return 0 }}
+	survey := snapshot.Survey(backends, Request{})
 	if survey.Eligible != 1 || survey.Reasons["draining"] != 1 || survey.Reasons["cold"] != 2 || survey.ColdWait != time.Second {
 		t.Errorf("Survey returned %+v", survey)
 	}
@@ -81,15 +81,15 @@
 	backends, book := fleet.New(nil), evacuation.NewBook()
 	gate := NewGate(Config{
 		Fleet: backends, Evacuations: book, MaxEvacuationsAge: 5 * time.Second,
-		EvacuationsAge:   func(time.Time) time.Duration { return age },
-		Share: func(*fleet.Backend, time.Time) int { return share },
+		EvacuationsAge: func(time.Time) time.Duration { return age },
+		Share:          func(*fleet.Backend, time.Time) int { return share },
 	})
 	return gate, backends, book
 }
 
-// TestAdmitDecidesAnew checks that Admit uses the state at the time of the call and not that
-// of the choice of the back end.
-func TestAdmitDecidesAnew(t *testing.T) {
+// TestAdmitUsesCurrentState checks that Admit uses the state at the time of the call and not
+// that of the choice of the back end.
+func TestAdmitUsesCurrentState(t *testing.T) {
 	gate, backends, book := newTestGate(1, 0)
 	if got := LabelOf(gate.Admit("b", Request{})); got != "gone" {
 		t.Errorf("unknown back end: label %q, want \"gone\"", got)
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestFrozenSenderKeepsToItsShare guards against a burst beyond the node's share when many
+// TestSuspendedSenderKeepsToItsShare guards against a burst beyond the node's share when many
 // delayed calls are sent at once after the process was suspended.
-func TestFrozenSenderKeepsToItsShare(t *testing.T) {
+func TestSuspendedSenderKeepsToItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate, backends, _ := newTestGate(3, 0)
 		backends.Update([]fleet.Instance{{ID: "b", Revision: 1, ColdDuration: time.Minute}}, nil)
--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -15,11 +15,11 @@
 	Fleet       *fleet.Fleet
 	Evacuations *evacuation.Book
 	Zones       place.Map
-	// QuarantineFailures is used as World.QuarantineFailures.
-	QuarantineFailures func(work fingerprint.Fingerprint) int
+	// QuarantineFailures is used as Snapshot.Failures.
+	QuarantineFailures func(f fingerprint.Fingerprint) int
 	// EvacuationsAge returns the time since the store last confirmed the evacuations.
 	EvacuationsAge func(now time.Time) time.Duration
-	// MaxEvacuationsAge is used as World.MaxEvacuationsAge.
+	// MaxEvacuationsAge is used as Snapshot.MaxEvacuationsAge.
 	MaxEvacuationsAge time.Duration
 	// Share returns how many requests per second this node may send to a cold back end, or
 	// coldstart.Unbounded.
@@ -27,35 +27,35 @@
 	// Observe is called with the label of the reason for each call that Admit refuses. It
 	// may be nil.
 	Observe func(label string)
-	// ObserveColdCall is called for each call that Admit admits to a cold back end. It may be
-	// nil.
+	// ObserveColdCall is called for each call that Admit admits to a cold back end. It may
+	// be nil.
 	ObserveColdCall func(service string)
 }
 
 // Gate checks calls to back ends immediately before they are sent. It is safe for concurrent
 // use.
 type Gate struct {
-	config Config
-	turns  *coldstart.Limiter
+	config      Config
+	coldLimiter *coldstart.Limiter
 }
 
 // NewGate returns a Gate for a configuration.
-func NewGate(config Config) *Gate { return &Gate{config: config, turns: coldstart.NewLimiter()} }
+func NewGate(config Config) *Gate { return &Gate{config: config, coldLimiter: coldstart.NewLimiter()} }
 
 // Snapshot returns a snapshot of the node's state.
 func (g *Gate) Snapshot(now time.Time) *Snapshot {
 	return &Snapshot{
 		Now: now, Failures: g.config.QuarantineFailures, Zones: g.config.Zones, Evacuations: g.config.Evacuations.InForce(),
 		EvacuationsAge: g.config.EvacuationsAge(now), MaxEvacuationsAge: g.config.MaxEvacuationsAge,
-		ColdRequestsLeft:    func(b *fleet.Backend) int { return g.turns.Remaining(b.ID, g.config.Share(b, now), now) },
-		ColdRetryDelay: func(b *fleet.Backend) time.Duration { return g.nextTurn(b, now) },
+		ColdRequestsLeft: func(b *fleet.Backend) int { return g.coldLimiter.Remaining(b.ID, g.config.Share(b, now), now) },
+		ColdRetryDelay:   func(b *fleet.Backend) time.Duration { return g.coldRetryDelay(b, now) },
 	}
 }
 
-// nextTurn returns the time until this node may send another request to a cold back end, 0
-// if its share is 0.
-func (g *Gate) nextTurn(b *fleet.Backend, now time.Time) time.Duration {
-	next := g.turns.NextAllowed(b.ID, g.config.Share(b, now), now)
+// coldRetryDelay returns the time until this node may send another request to a cold back
+// end, 0 if its share is 0.
+func (g *Gate) coldRetryDelay(b *fleet.Backend, now time.Time) time.Duration {
+	next := g.coldLimiter.NextAllowed(b.ID, g.config.Share(b, now), now)
 	if next.IsZero() {
 		return 0
 	}
@@ -82,20 +82,20 @@
 	if !found {
 		return Gone{}
 	}
-	world := g.Snapshot(now)
-	if reason := world.Decide(&b, r); reason != nil {
+	snapshot := g.Snapshot(now)
+	if reason := snapshot.Decide(&b, r); reason != nil {
 		return reason
 	}
 	if left := b.ColdUntil.Sub(now); left > 0 {
-		return g.takeTurn(&b, left, now)
+		return g.admitCold(&b, left, now)
 	}
 	return nil
 }
 
-// takeTurn counts a call to a cold back end, or returns Cold if the node's share is used up:
-// a concurrent call may have taken the rest of it since World.Decide.
-func (g *Gate) takeTurn(b *fleet.Backend, left time.Duration, now time.Time) Reason {
-	if !g.turns.Allow(b.ID, g.config.Share(b, now), now) {
+// admitCold counts a call to a cold back end, or returns Cold if the node's share is used
+// up: a concurrent call may have taken the rest of it since Snapshot.Decide.
+func (g *Gate) admitCold(b *fleet.Backend, left time.Duration, now time.Time) Reason {
+	if !g.coldLimiter.Allow(b.ID, g.config.Share(b, now), now) {
 		return Cold{Left: left}
 	}
 	if g.config.ObserveColdCall != nil {
--- a/internal/gatewaynode/eligibility/reason.go
+++ b/internal/gatewaynode/eligibility/reason.go
@@ -35,8 +35,8 @@
 	Allowed string
 }
 
-// EvacuationsOutdated means that the node's list of evacuations is out of date, so that the zone may
-// be evacuated.
+// EvacuationsOutdated means that the node's list of evacuations is out of date, so that the
+// zone may be evacuated.
 type EvacuationsOutdated struct {
 	// Age is the time since the store last confirmed the list.
 	Age time.Duration
@@ -147,9 +147,9 @@
 // LabelOf returns the label of the Reason of an *Error in the chain of err, empty if there is
 // none.
 func LabelOf(err error) string {
-	var withheld *Error
-	if errors.As(err, &withheld) {
-		return withheld.Reason.Label()
+	var refused *Error
+	if errors.As(err, &refused) {
+		return refused.Reason.Label()
 	}
 	return ""
 }
--- a/internal/gatewaynode/eligibility/senders_test.go
+++ b/internal/gatewaynode/eligibility/senders_test.go
@@ -34,11 +34,11 @@
 	"gateway.run":               "sends to nodes, for the store",
 }
 
-// TestEverySenderIsDecided guards against calls to back ends that bypass Gate.Admit: each
+// TestSendersPassGate guards against calls to back ends that bypass Gate.Admit: each
 // function that can send must be listed in senders. Calls to back ends set
 // upstream.Call.Admit. Only calls to the store, to duties and between nodes may avoid the
 // upstream client.
-func TestEverySenderIsDecided(t *testing.T) {
+func TestSendersPassGate(t *testing.T) {
 	found := make(map[string]string)
 	for _, root := range []string{"../../gatewaynode", "../../../platform", "../../../cmd/sliplift-gateway"} {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -46,8 +46,8 @@
 				return err
 			}
 			name := entry.Name()
-			scaffold := strings.Contains(path, "standin") || strings.Contains(path, "rowstoretest")
-			if strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go") && !scaffold {
+			testSupport := strings.Contains(path, "standin") || strings.Contains(path, "rowstoretest")
+			if strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go") && !testSupport {
 				findSenders(t, path, found)
 			}
 			return nil
@@ -56,14 +56,14 @@
 			t.Fatal(err)
 		}
 	}
-	for _, place := range slices.Sorted(maps.Keys(found)) {
-		if senders[place] == "" {
-			t.Errorf("%s is not listed in senders: %s", place, found[place])
+	for _, sender := range slices.Sorted(maps.Keys(found)) {
+		if senders[sender] == "" {
+			t.Errorf("%s is not listed in senders: %s", sender, found[sender])
 		}
 	}
-	for place := range senders {
-		if found[place] == "" {
-			t.Errorf("%s is listed in senders but makes no call or client", place)
+	for sender := range senders {
+		if found[sender] == "" {
+			t.Errorf("%s is listed in senders but makes no call or client", sender)
 		}
 	}
 }
--- a/internal/gatewaynode/fingerprint/fingerprint.go
+++ b/internal/gatewaynode/fingerprint/fingerprint.go
@@ -69,17 +69,17 @@
 	return key
 }
 
-// Of returns the fingerprint of work. Each part before the body is prefixed with its
+// Of returns the fingerprint of input. Each part before the body is prefixed with its
 // length, so that moving bytes between parts changes the fingerprint.
-func (k *Key) Of(work Input) Fingerprint {
+func (k *Key) Of(input Input) Fingerprint {
 	mac := hmac.New(sha256.New, k[:])
-	for _, part := range []string{work.Host, work.Target, work.Tenant} {
+	for _, part := range []string{input.Host, input.Target, input.Tenant} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		mac.Write(length[:])
 		mac.Write([]byte(part))
 	}
-	mac.Write(work.Body)
+	mac.Write(input.Body)
 	var f Fingerprint
 	copy(f[:], mac.Sum(nil))
 	return f
--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -30,8 +30,8 @@
 	Models map[string]int64
 	// ColdDuration is how long the instance stays cold after the registry entry was written.
 	ColdDuration time.Duration
-	// StartedAt is the start time of the process in milliseconds of its own clock, 0 if it is
-	// not reported. A change means that the process restarted and lost its state.
+	// StartedAt is the start time of the process in milliseconds of its own clock, 0 if it
+	// is not reported. A change means that the process restarted and lost its state.
 	StartedAt int64
 	// Revision is the store's revision of the registry entry.
 	Revision int64
@@ -61,8 +61,8 @@
 	Pace time.Duration
 	// PaceAt is when the pace was last measured.
 	PaceAt time.Time
-	// SmoothedPace is the same average over settledWindow. It evens out the short slow phases
-	// of an instance that shares its machine with other processes.
+	// SmoothedPace is the same average over smoothedPaceWindow. It evens out the short slow
+	// phases of an instance that shares its machine with other processes.
 	SmoothedPace time.Duration
 	// LifetimePace is the average over the lifetime of the instance.
 	LifetimePace LifetimePace
@@ -98,8 +98,8 @@
 // capacity is unknown.
 func (m Memory) Utilization(more int) float64 { return m.share(m.Held + more) }
 
-// ExpectedUtilization returns the fraction of the capacity in use when the requests end, after adding
-// more tokens, 0 if the capacity is unknown.
+// ExpectedUtilization returns the fraction of the capacity in use when the requests end,
+// after adding more tokens, 0 if the capacity is unknown.
 func (m Memory) ExpectedUtilization(more int) float64 { return m.share(m.Expected + more) }
 
 func (m Memory) share(tokens int) float64 {
@@ -128,7 +128,7 @@
 	Reach  Reach
 }
 
-// SmoothedPaceOrPace returns Settled, or Pace if Settled is unknown; 0 if both are.
+// SmoothedPaceOrPace returns SmoothedPace, or Pace if SmoothedPace is unknown; 0 if both are.
 func (c Condition) SmoothedPaceOrPace() time.Duration {
 	if c.SmoothedPace == 0 {
 		return c.Pace
@@ -146,8 +146,8 @@
 // short because the load of other processes on a machine changes several times a second.
 const slowdownDecay = 500 * time.Millisecond
 
-// ExpectedSlowdown returns the slowdown expected now: the reported one, decaying towards 1 with its
-// age, or 1 if none is reported.
+// ExpectedSlowdown returns the slowdown expected now: the reported one, decaying towards 1
+// with its age, or 1 if none is reported.
 func (b Backend) ExpectedSlowdown(now time.Time) float64 {
 	if b.Slowdown <= 0 {
 		return 1
@@ -320,19 +320,19 @@
 // MarkLoading records that an instance is loading weights of a model. The mark expires at
 // until; an empty model removes it.
 func (f *Fleet) MarkLoading(id, model string, until time.Time) {
-	f.with(id, func(c *Condition) { c.LoadingModel, c.LoadingUntil = model, until })
+	f.updateCondition(id, func(c *Condition) { c.LoadingModel, c.LoadingUntil = model, until })
 	f.changed()
 }
 
 // MarkCold records that an instance may be cold until the given time. It never shortens the
 // time.
 func (f *Fleet) MarkCold(id string, until time.Time) {
-	f.with(id, func(c *Condition) { c.ColdUntil = later(c.ColdUntil, until) })
+	f.updateCondition(id, func(c *Condition) { c.ColdUntil = later(c.ColdUntil, until) })
 }
 
 // MarkAssignedModel records the model that is assigned to an instance.
 func (f *Fleet) MarkAssignedModel(id, model string) {
-	f.with(id, func(c *Condition) { c.AssignedModel = model })
+	f.updateCondition(id, func(c *Condition) { c.AssignedModel = model })
 }
 
 // Service returns the back ends of a service, sorted by id.
@@ -411,8 +411,8 @@
 	return backend
 }
 
-// with applies change to the condition of an instance, if the instance exists.
-func (f *Fleet) with(id string, change func(*Condition)) {
+// updateCondition applies change to the condition of an instance, if the instance exists.
+func (f *Fleet) updateCondition(id string, change func(*Condition)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if held := f.instances[id]; held != nil {
@@ -423,9 +423,9 @@
 // Begin counts a request in flight at an instance until the returned function is called,
 // which may be called more than once.
 func (f *Fleet) Begin(id string) func() {
-	f.with(id, func(c *Condition) { c.InFlight++ })
+	f.updateCondition(id, func(c *Condition) { c.InFlight++ })
 	var once sync.Once
 	return func() {
-		once.Do(func() { f.with(id, func(c *Condition) { c.InFlight-- }) })
+		once.Do(func() { f.updateCondition(id, func(c *Condition) { c.InFlight-- }) })
 	}
 }
--- a/internal/gatewaynode/fleet/fleet_test.go
+++ b/internal/gatewaynode/fleet/fleet_test.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestSameIDAgain checks that a restart under the same id resets loaded models, pace and
+// TestRestartResetsState checks that a restart under the same id resets loaded models, pace and
 // suspension, but not the requests in flight.
-func TestSameIDAgain(t *testing.T) {
+func TestRestartResetsState(t *testing.T) {
 	backends, now := New(nil), time.Now()
 	entry := Instance{ID: "a", Service: "s", Slots: 4, StartedAt: 1000, Revision: 1, Models: map[string]int64{"m": 1}}
 	backends.Update([]Instance{entry}, nil)
--- a/internal/gatewaynode/fleet/lasting.go
+++ b/internal/gatewaynode/fleet/lifetimepace.go
@@ -13,13 +13,13 @@
 }
 
 const (
-	// lastingFall and lastingRise are the weights of a measurement below and above the
-	// average. Temporary slowness is far more common than temporary speed, so that the
-	// average follows low measurements quickly and high ones slowly.
-	lastingFall = 0.3
-	lastingRise = 0.01
-	// lastingLeast is the number of measurements from which the average is used.
-	lastingLeast = 5
+	// lifetimeDecreaseWeight and lifetimeIncreaseWeight are the weights of a measurement
+	// below and above the average. Temporary slowness is far more common than temporary
+	// speed, so that the average follows low measurements quickly and high ones slowly.
+	lifetimeDecreaseWeight = 0.3
+	lifetimeIncreaseWeight = 0.01
+	// minLifetimeCount is the number of measurements from which the average is used.
+	minLifetimeCount = 5
 )
 
 // observe returns l updated by a measurement. It ignores one that follows the last within
@@ -28,11 +28,11 @@
 	if l.Count > 0 && now.Sub(l.At) < paceWindow {
 		return l
 	}
-	weight := lastingRise
+	weight := lifetimeIncreaseWeight
 	if pace < l.Pace {
-		weight = lastingFall
+		weight = lifetimeDecreaseWeight
 	}
-	if l.Count < lastingLeast {
+	if l.Count < minLifetimeCount {
 		weight = max(weight, 1/float64(l.Count+1))
 	}
 	l.Pace += time.Duration(weight * float64(pace-l.Pace))
@@ -42,4 +42,4 @@
 }
 
 // Known reports whether there are enough measurements to use the average.
-func (l LifetimePace) Known() bool { return l.Count >= lastingLeast }
+func (l LifetimePace) Known() bool { return l.Count >= minLifetimeCount }
--- a/internal/gatewaynode/fleet/observe.go
+++ b/internal/gatewaynode/fleet/observe.go
@@ -21,7 +21,7 @@
 
 // ObserveLoad records the load that an answer reported.
 func (f *Fleet) ObserveLoad(id string, load Load, now time.Time) {
-	f.with(id, func(c *Condition) {
+	f.updateCondition(id, func(c *Condition) {
 		c.OthersRunning = max(0, load.Running-c.InFlight)
 		c.Waiting = load.Waiting
 		c.Slowdown = load.Slowdown
@@ -40,7 +40,7 @@
 
 // ObserveLatency records the time of a whole answer. It resets the count of failures.
 func (f *Fleet) ObserveLatency(id string, latency time.Duration) {
-	f.with(id, func(c *Condition) {
+	f.updateCondition(id, func(c *Condition) {
 		c.Latency = average(c.Latency, latency)
 		c.Failures = 0
 	})
@@ -49,7 +49,7 @@
 // ObserveScore records the time of a call to a scoring service. It resets the count of
 // failures.
 func (f *Fleet) ObserveScore(id string, latency time.Duration) {
-	f.with(id, func(c *Condition) {
+	f.updateCondition(id, func(c *Condition) {
 		c.ScoreLatency = average(c.ScoreLatency, latency)
 		c.Failures = 0
 	})
@@ -58,10 +58,10 @@
 // ObservePace records the time between two events of a stream. It resets the count of
 // failures.
 func (f *Fleet) ObservePace(id string, gap time.Duration, now time.Time) {
-	f.with(id, func(c *Condition) {
+	f.updateCondition(id, func(c *Condition) {
 		since := now.Sub(c.PaceAt)
 		c.Pace = paceAverage(c.Pace, gap, since, paceWindow)
-		c.SmoothedPace = paceAverage(c.SmoothedPace, gap, since, settledWindow)
+		c.SmoothedPace = paceAverage(c.SmoothedPace, gap, since, smoothedPaceWindow)
 		c.PaceAt = now
 		c.LifetimePace = c.LifetimePace.observe(c.Pace, now)
 		c.Failures = 0
@@ -79,9 +79,9 @@
 // paceWindow is the time over which Condition.Pace is averaged.
 const paceWindow = 400 * time.Millisecond
 
-// settledWindow is the time over which Condition.Settled is averaged. It is long enough that
-// a slow phase of half a second changes the average little.
-const settledWindow = 2 * time.Second
+// smoothedPaceWindow is the time over which Condition.SmoothedPace is averaged. It is long
+// enough that a slow phase of half a second changes the average little.
+const smoothedPaceWindow = 2 * time.Second
 
 // paceAverage returns the average old updated by a gap, which is weighted by the time since
 // the last measurement. The average therefore depends on time and not on the number of
@@ -102,7 +102,7 @@
 // otherwise many requests that fail together, such as those queued at a full instance,
 // would cause the longest suspension at once.
 func (f *Fleet) ObserveFailure(id, reason string, now time.Time) {
-	f.with(id, func(c *Condition) {
+	f.updateCondition(id, func(c *Condition) {
 		c.Failures++
 		if now.Before(c.SuspendedUntil) {
 			return
@@ -115,7 +115,7 @@
 
 // Suspend suspends an instance without counting a failure. It never shortens a suspension.
 func (f *Fleet) Suspend(id, reason string, until time.Time) {
-	f.with(id, func(c *Condition) {
+	f.updateCondition(id, func(c *Condition) {
 		if until.After(c.SuspendedUntil) {
 			c.SuspendedUntil = until
 			c.SuspendReason = reason
--- a/internal/gatewaynode/place/distance.go
+++ b/internal/gatewaynode/place/distance.go
@@ -23,8 +23,8 @@
 	defaultOtherRegion Distance = 20
 )
 
-// DefaultDistance returns the distance assumed between two places without a measurement. An unknown
-// region counts as the same region.
+// DefaultDistance returns the distance assumed between two places without a measurement. An
+// unknown region counts as the same region.
 func DefaultDistance(a, b Place) Distance {
 	switch {
 	case a.Zone == b.Zone:
