--- a/internal/gatewaynode/batch/held.go
+++ b/internal/gatewaynode/batch/held.go
@@ -10,13 +10,13 @@
 // heldLogInterval is the minimum interval between log entries about the held items of a job.
 const heldLogInterval = time.Second
 
-// noteHeld logs why no backend is eligible for an item. It logs nothing if one is eligible and
+// logHeld logs why no backend is eligible for an item. It logs nothing if one is eligible and
 // merely has no room. The caller holds r.mu.
-func (r *runner) noteHeld(c candidate, pool *serviceBackends, want need, p *schedulingRound) {
+func (r *runner) logHeld(c candidate, pool *serviceBackends, want need, p *schedulingRound) {
 	if p.now.Sub(c.job.heldLoggedAt) < heldLogInterval {
 		return
 	}
-	survey := p.world.Survey(pool.backends, want.Request)
+	survey := p.snapshot.Survey(pool.backends, want.Request)
 	if survey.Eligible > 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	work := job.items[index].work
 	r.manager.config.Log.Warn(eventlog.JobHeld, eventlog.Fields{
 		eventlog.Job: job.id, eventlog.Item: job.spec.Items[index].ID, eventlog.Work: work.String(),
-		eventlog.Reasons: map[string]int{eligibility.LabelQuarantined: p.world.QuarantineFailures(work)}, "left": job.unfinished,
+		eventlog.Reasons: map[string]int{eligibility.LabelQuarantined: p.snapshot.QuarantineFailures(work)}, "left": job.unfinished,
 	})
 }
 
--- a/internal/gatewaynode/batch/memory_test.go
+++ b/internal/gatewaynode/batch/memory_test.go
@@ -41,7 +41,7 @@
 		want := test.want
 		want.Request = weightsOf("m", 3)
 		got := ""
-		if index := pickBackend(pool, want, 40*time.Millisecond, placeWorld); index >= 0 {
+		if index := pickBackend(pool, want, 40*time.Millisecond, placeSnapshot); index >= 0 {
 			got = pool[index].ID
 		}
 		if got != test.pick {
@@ -57,15 +57,15 @@
 	crowded := func(b *fleet.Backend) { b.Memory = fleet.Memory{Capacity: 30000, Held: 9000, Expected: 28000} }
 	want := need{Request: weightsOf("m", 3), held: 4096, expected: 11264}
 	pool := []fleet.Backend{backend("slow", slow), backend("crowded", crowded)}
-	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeWorld); target >= 0 {
+	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeSnapshot); target >= 0 {
 		t.Errorf("moved to %s", pool[target].ID)
 	}
 	pool = append(pool, backend("failed", func(b *fleet.Backend) { b.Failures = 1 }))
-	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeWorld); target >= 0 {
+	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeSnapshot); target >= 0 {
 		t.Errorf("moved to %s", pool[target].ID)
 	}
 	pool[2] = backend("free", nil)
-	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeWorld); target != 2 {
+	if target := moveTarget(pool, "slow", want, 40*time.Millisecond, placeSnapshot); target != 2 {
 		t.Errorf("target %d, want 2", target)
 	}
 }
@@ -112,7 +112,7 @@
 		t.Errorf("reserved = %d, want 1", used.reserved)
 	}
 	fast := backend("fast", func(b *fleet.Backend) { b.InFlight = 4 })
-	if suits(&fast, need{Request: weightsOf("m", 0)}, placeWorld) {
+	if suits(&fast, need{Request: weightsOf("m", 0)}, placeSnapshot) {
 		t.Error("another item may start in a reserved slot")
 	}
 }
--- a/internal/gatewaynode/batch/move.go
+++ b/internal/gatewaynode/batch/move.go
@@ -42,7 +42,7 @@
 	moving := want
 	moving.ran = p.now.Sub(item.firstStart)
 	moving.left = r.left(c.job, c.index)
-	target := moveTarget(pool.backends, item.backend, moving, pool.typical, p.world)
+	target := moveTarget(pool.backends, item.backend, moving, pool.typical, p.snapshot)
 	if target < 0 {
 		return
 	}
@@ -68,8 +68,8 @@
 // been slow for some time, since backends on shared machines slow down briefly and recover
 // before a moved item has started elsewhere. A backend whose last request failed is not a
 // target until another request succeeds there.
-func moveTarget(pool []fleet.Backend, current string, want need, typical time.Duration, world *eligibility.Snapshot) int {
-	now := world.Now
+func moveTarget(pool []fleet.Backend, current string, want need, typical time.Duration, snapshot *eligibility.Snapshot) int {
+	now := snapshot.Now
 	var from *fleet.Backend
 	for i := range pool {
 		if pool[i].ID == current {
@@ -95,7 +95,7 @@
 		if !worthMoving(slow, b.SmoothedPaceOrPace(), want.left) {
 			continue
 		}
-		if (best < 0 || b.SmoothedPaceOrPace() < pool[best].SmoothedPaceOrPace()) && suits(b, want, world) {
+		if (best < 0 || b.SmoothedPaceOrPace() < pool[best].SmoothedPaceOrPace()) && suits(b, want, snapshot) {
 			best = i
 		}
 	}
--- a/internal/gatewaynode/batch/patience_test.go
+++ b/internal/gatewaynode/batch/patience_test.go
@@ -74,7 +74,7 @@
 	} {
 		test.want.Request = weightsOf("m", 3)
 		got := ""
-		if index := pickBackend(test.pool, test.want, 40*time.Millisecond, placeWorld); index >= 0 {
+		if index := pickBackend(test.pool, test.want, 40*time.Millisecond, placeSnapshot); index >= 0 {
 			got = test.pool[index].ID
 		}
 		if got != test.pick {
@@ -129,7 +129,7 @@
 		b.LifetimePace = fleet.LifetimePace{Pace: 40 * time.Millisecond, Count: 50}
 	})
 	pool := []fleet.Backend{slow, recovered}
-	if got := pickBackend(pool, need{Request: weightsOf("m", 3)}, typicalPace(pool, placeNow), placeWorld); got != 1 {
+	if got := pickBackend(pool, need{Request: weightsOf("m", 3)}, typicalPace(pool, placeNow), placeSnapshot); got != 1 {
 		t.Errorf("picked backend %d, want 1", got)
 	}
 }
--- a/internal/gatewaynode/batch/place.go
+++ b/internal/gatewaynode/batch/place.go
@@ -60,14 +60,14 @@
 
 // pickBackend returns the index of the backend with the lowest cost among those that can
 // start the item now, or -1 if there is none. typical is the result of typicalPace.
-func pickBackend(pool []fleet.Backend, want need, typical time.Duration, world *eligibility.Snapshot) int {
+func pickBackend(pool []fleet.Backend, want need, typical time.Duration, snapshot *eligibility.Snapshot) int {
 	best := -1
 	var bestCost float64
 	for i := range pool {
-		if !suits(&pool[i], want, world) || want.idleOnly && pool[i].Reach.Idle == 0 {
+		if !suits(&pool[i], want, snapshot) || want.idleOnly && pool[i].Reach.Idle == 0 {
 			continue
 		}
-		cost := runCost(&pool[i], want, typical, world.Now)
+		cost := runCost(&pool[i], want, typical, snapshot.Now)
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -76,13 +76,13 @@
 }
 
 // suits reports whether b can start an item now.
-func suits(b *fleet.Backend, want need, world *eligibility.Snapshot) bool {
-	return b.Load() < 1 && hasMemory(b, want.held) && fits(b, want, world)
+func suits(b *fleet.Backend, want need, snapshot *eligibility.Snapshot) bool {
+	return b.Load() < 1 && hasMemory(b, want.held) && fits(b, want, snapshot)
 }
 
 // fits reports whether b can run an item once it has room.
-func fits(b *fleet.Backend, want need, world *eligibility.Snapshot) bool {
-	return !b.Suspended(world.Now) && world.Eligible(b, want.Request)
+func fits(b *fleet.Backend, want need, snapshot *eligibility.Snapshot) bool {
+	return !b.Suspended(snapshot.Now) && snapshot.Eligible(b, want.Request)
 }
 
 // runCost returns the expected time per event at a backend, weighted by the slowdowns that
--- a/internal/gatewaynode/batch/place_test.go
+++ b/internal/gatewaynode/batch/place_test.go
@@ -11,7 +11,7 @@
 
 var placeNow = time.Unix(1000, 0)
 
-var placeWorld = &eligibility.Snapshot{Now: placeNow}
+var placeSnapshot = &eligibility.Snapshot{Now: placeNow}
 
 // weightsOf returns a request for a model with weights of at least the given version.
 func weightsOf(model string, version int64) eligibility.Request {
@@ -62,7 +62,7 @@
 	}
 	for _, test := range cases {
 		got := ""
-		if index := pickBackend(test.pool, test.want, typicalPace(test.pool, placeNow), placeWorld); index >= 0 {
+		if index := pickBackend(test.pool, test.want, typicalPace(test.pool, placeNow), placeSnapshot); index >= 0 {
 			got = test.pool[index].ID
 		}
 		if got != test.pick {
@@ -78,15 +78,15 @@
 	forGood := fleet.LifetimePace{Pace: third, Count: 100}
 	pool := []fleet.Backend{backend("slow", func(b *fleet.Backend) { b.Pace, b.LifetimePace = third, forGood }), backend("fast", nil)}
 	want := need{Request: weightsOf("m", 3)}
-	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeWorld); got >= 0 {
+	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeSnapshot); got >= 0 {
 		t.Error("short run was moved from a backend that is 30% slower")
 	}
 	want.ran = longRun + time.Second
-	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeWorld); got != 1 {
+	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeSnapshot); got != 1 {
 		t.Error("long run was not moved from a backend that is 30% slower")
 	}
 	pool[0].LifetimePace.Pace = 40 * time.Millisecond
-	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeWorld); got >= 0 {
+	if got := moveTarget(pool, "slow", want, typicalPace(pool, placeNow), placeSnapshot); got >= 0 {
 		t.Error("long run was moved from a backend that is 30% slower only at present")
 	}
 }
@@ -108,9 +108,9 @@
 	}
 	moved := func() bool {
 		pool := backends.Service("s", now)
-		world := &eligibility.Snapshot{Now: now}
+		snapshot := &eligibility.Snapshot{Now: now}
 		want := need{Request: weightsOf("m", 3), ran: longRun + time.Second}
-		return moveTarget(pool, "shared", want, typicalPace(pool, now), world) >= 0
+		return moveTarget(pool, "shared", want, typicalPace(pool, now), snapshot) >= 0
 	}
 	play(usual, 5*time.Second)
 	play(slowed, 500*time.Millisecond)
@@ -141,7 +141,7 @@
 	}
 	for _, test := range cases {
 		got := ""
-		if index := moveTarget(test.pool, "slow", need{Request: weightsOf("m", 3)}, typicalPace(test.pool, placeNow), placeWorld); index >= 0 {
+		if index := moveTarget(test.pool, "slow", need{Request: weightsOf("m", 3)}, typicalPace(test.pool, placeNow), placeSnapshot); index >= 0 {
 			got = test.pool[index].ID
 		}
 		if got != test.move {
@@ -158,11 +158,11 @@
 		pool = append(pool, backend(id, nil))
 	}
 	want := need{Request: weightsOf("m", 3), ran: longRun + time.Second}
-	if got := moveTarget(pool, "a", want, typicalPace(pool, placeNow), placeWorld); got >= 0 {
+	if got := moveTarget(pool, "a", want, typicalPace(pool, placeNow), placeSnapshot); got >= 0 {
 		t.Errorf("run at the typical pace was moved to %s", pool[got].ID)
 	}
 	pool[1].Pace = 120 * time.Millisecond
-	if got := moveTarget(pool, "a", want, typicalPace(pool, placeNow), placeWorld); got < 0 {
+	if got := moveTarget(pool, "a", want, typicalPace(pool, placeNow), placeSnapshot); got < 0 {
 		t.Error("run at a slow backend was not moved")
 	}
 }
--- a/internal/gatewaynode/batch/regions.go
+++ b/internal/gatewaynode/batch/regions.go
@@ -181,7 +181,7 @@
 // retain drops the texts of the residencies for which keep returns false.
 func (k *keptTexts) retain(keep func(residency) bool) {
 	k.order = slices.DeleteFunc(k.order, func(item string) bool {
-		if keep(k.texts[item].of) {
+		if keep(k.texts[item].residency) {
 			return false
 		}
 		delete(k.texts, item)
--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -68,7 +68,7 @@
 		c := candidate{job: job, index: index, route: route, priority: priority, weight: float64(job.spec.Items[index].LengthHint)}
 		switch item.phase {
 		case phaseWaiting:
-			if !item.trial && p.world.QuarantineFailures(item.work) > 0 {
+			if !item.trial && p.snapshot.QuarantineFailures(item.work) > 0 {
 				r.noteQuarantined(job, index, p)
 				continue
 			}
@@ -79,7 +79,7 @@
 		case phaseRunning:
 			// The run of a quarantined item is its trial run, which is granted only once.
 			// Moving it would start it a second time.
-			if !p.of(route, index).uneven || !movable(item, p.now) || p.world.QuarantineFailures(item.work) > 0 {
+			if !p.of(route, index).uneven || !movable(item, p.now) || p.snapshot.QuarantineFailures(item.work) > 0 {
 				continue
 			}
 			c.moving = true
@@ -124,8 +124,8 @@
 	// config is the current configuration, nil if there is none.
 	config *routetable.Table
 	// used is the token usage of this node's runs by backend ID.
-	used  map[string]usage
-	world *eligibility.Snapshot
+	used     map[string]usage
+	snapshot *eligibility.Snapshot
 	// assigned counts, by backend ID, the requests that were assigned in this or an earlier
 	// round and have not been sent yet. eligibility.Snapshot.ColdRequestsLeft does not count
 	// them, so turnsLeft subtracts them.
@@ -153,9 +153,9 @@
 	p := &schedulingRound{
 		fleet: r.manager.config.Fleet, reach: r.manager.config.Reach, now: now, services: make(map[string]*serviceBackends),
 		config: r.manager.config.Routes(), used: r.usages(), demands: make(map[*ownedJob]*demand),
-		world: r.manager.config.Gate.Snapshot(now), assigned: r.unsent.snapshot(),
+		snapshot: r.manager.config.Gate.Snapshot(now), assigned: r.unsent.snapshot(),
 	}
-	p.world.ColdRequestsLeft = p.turnsLeft(p.world.ColdRequestsLeft)
+	p.snapshot.ColdRequestsLeft = p.turnsLeft(p.snapshot.ColdRequestsLeft)
 	return p
 }
 
@@ -250,17 +250,17 @@
 	if pool.full[want] {
 		return
 	}
-	chosen := pickBackend(pool.backends, want, pool.typical, p.world)
+	chosen := pickBackend(pool.backends, want, pool.typical, p.snapshot)
 	if chosen < 0 {
 		pool.full[want] = true
-		r.noteHeld(c, pool, want, p)
+		r.logHeld(c, pool, want, p)
 		return
 	}
 	b := &pool.backends[chosen]
 	slow := pace(b, pool.typical, p.now)
 	if float64(slow) > moveRatio*float64(pool.typical) {
 		events := r.lengths.expected(c.job.spec.Items[c.index].LengthHint) - float64(len(item.text.events))
-		slots := fastSlots(pool.backends, want, pool.typical, p.world)
+		slots := fastSlots(pool.backends, want, pool.typical, p.snapshot)
 		if !worthStarting(events, slow, pool.typical, r.lengths.wait(pool.postponed, slots)) {
 			pool.postponed++
 			return
@@ -289,7 +289,7 @@
 	}
 	b := &pool.backends[chosen]
 	b.InFlight--
-	if !suits(b, want, p.world) {
+	if !suits(b, want, p.snapshot) {
 		return false
 	}
 	p.assign(b)
@@ -307,11 +307,11 @@
 
 // fastSlots returns the total number of slots, free or not, of the backends that may run an
 // item and are not slow.
-func fastSlots(backends []fleet.Backend, want need, typical time.Duration, world *eligibility.Snapshot) int {
+func fastSlots(backends []fleet.Backend, want need, typical time.Duration, snapshot *eligibility.Snapshot) int {
 	slots := 0
 	for i := range backends {
 		b := &backends[i]
-		if fits(b, want, world) && float64(pace(b, typical, world.Now)) <= moveRatio*float64(typical) {
+		if fits(b, want, snapshot) && float64(pace(b, typical, snapshot.Now)) <= moveRatio*float64(typical) {
 			slots += b.Slots
 		}
 	}
--- a/internal/gatewaynode/batch/schedule_test.go
+++ b/internal/gatewaynode/batch/schedule_test.go
@@ -36,7 +36,7 @@
 		backend("old", func(b *fleet.Backend) { b.Models = map[string]int64{"m": 1} }),
 	}
 	want := need{Request: weightsOf("m", 3)}
-	if got := fastSlots(pool, want, typicalPace(pool, placeNow), placeWorld); got != 8 {
+	if got := fastSlots(pool, want, typicalPace(pool, placeNow), placeSnapshot); got != 8 {
 		t.Errorf("got %d slots, want 8: those of full backends count, those of slow or outdated ones do not", got)
 	}
 }
--- a/internal/gatewaynode/batch/score.go
+++ b/internal/gatewaynode/batch/score.go
@@ -119,7 +119,7 @@
 		want.avoid = first.backend.ID
 	}
 	want.idleOnly = state.sends == 0 && awaited(pool) && patientScore(p.demands[job].longest, defaultPace, lowestScoreLatency(pool), (now-state.since).Duration())
-	chosen := pickScorer(pool, want, p.world)
+	chosen := pickScorer(pool, want, p.snapshot)
 	if chosen < 0 {
 		return
 	}
--- a/internal/gatewaynode/batch/scoreplace.go
+++ b/internal/gatewaynode/batch/scoreplace.go
@@ -52,16 +52,16 @@
 
 // pickScorer returns the index of the backend with the lowest cost for a scoring call, or -1 if
 // no eligible one has a slot beyond those reserved for live requests.
-func pickScorer(pool []fleet.Backend, want scorerWant, world *eligibility.Snapshot) int {
+func pickScorer(pool []fleet.Backend, want scorerWant, snapshot *eligibility.Snapshot) int {
 	best := -1
 	var bestCost float64
 	usual := lowestScoreLatency(pool)
 	for i := range pool {
 		b := &pool[i]
-		if b.ID == want.avoid || b.Suspended(world.Now) || !hasRoom(b) || want.idleOnly && b.Reach.Idle == 0 || !world.Eligible(b, want.Request) {
+		if b.ID == want.avoid || b.Suspended(snapshot.Now) || !hasRoom(b) || want.idleOnly && b.Reach.Idle == 0 || !snapshot.Eligible(b, want.Request) {
 			continue
 		}
-		cost := scorerCost(b, usual, world.Now)
+		cost := scorerCost(b, usual, snapshot.Now)
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
--- a/internal/gatewaynode/batch/text.go
+++ b/internal/gatewaynode/batch/text.go
@@ -67,8 +67,8 @@
 
 // keptText is a text with the residency of the job that it belongs to.
 type keptText struct {
-	made text
-	of   residency
+	text      text
+	residency residency
 }
 
 func newKeptTexts() keptTexts { return keptTexts{texts: make(map[string]keptText)} }
@@ -78,7 +78,7 @@
 	if _, found := k.texts[item]; !found {
 		k.order = append(k.order, item)
 	}
-	k.texts[item] = keptText{made: made, of: of}
+	k.texts[item] = keptText{text: made, residency: of}
 	for len(k.order) > maxKeptTexts {
 		delete(k.texts, k.order[0])
 		k.order = k.order[1:]
@@ -88,5 +88,5 @@
 // take returns the text kept for an item, which stays in k.
 func (k *keptTexts) take(item string) (text, bool) {
 	kept, found := k.texts[item]
-	return kept.made, found
+	return kept.text, found
 }
--- a/internal/gatewaynode/forward/stream.go
+++ b/internal/gatewaynode/forward/stream.go
@@ -23,8 +23,8 @@
 // had no free slot. It counts neither against the backend nor against its connections.
 var errQueued = errors.New("backend had no free slot for too long")
 
-// errGap means that a resumed stream did not continue with the next event.
-var errGap = errors.New("event id out of sequence")
+// errEventGap means that a resumed stream did not continue with the next event.
+var errEventGap = errors.New("event id out of sequence")
 
 // streamState is the progress of a stream towards the caller.
 type streamState struct {
@@ -208,7 +208,7 @@
 			return err
 		}
 		if event.HasID && state.hasLast && event.ID != state.last+1 {
-			return errGap
+			return errEventGap
 		}
 		watchdog.begun.Store(true)
 		if x.repeatable() {
