--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -21,8 +21,8 @@
 	EvacuationsAge func(now time.Time) time.Duration
 	// MaxEvacuationsAge is used as Snapshot.MaxEvacuationsAge.
 	MaxEvacuationsAge time.Duration
-	// Share returns how many requests per second this node may send to a cold back end, or
-	// coldstart.Unbounded.
+	// Share returns this node's share of the limit of a cold back end, as coldstart.Share
+	// does, or coldstart.Unbounded.
 	Share func(backend *fleet.Backend, now time.Time) int
 	// Observe is called with the label of the reason for each call that Admit refuses. It
 	// may be nil.
