--- a/internal/gatewaynode/batch/schedule.go
+++ b/internal/gatewaynode/batch/schedule.go
@@ -128,7 +128,7 @@
 	snapshot *eligibility.Snapshot
 	// assigned counts, by backend ID, the requests that were assigned in this or an earlier
 	// round and have not been sent yet. eligibility.Snapshot.ColdRequestsLeft does not count
-	// them, so turnsLeft subtracts them.
+	// them, so coldRequestsLeft subtracts them.
 	assigned map[string]int
 	// demands holds the remaining work of each job.
 	demands map[*ownedJob]*demand
@@ -155,14 +155,14 @@
 		config: r.manager.config.Routes(), used: r.usages(), demands: make(map[*ownedJob]*demand),
 		snapshot: r.manager.config.Gate.Snapshot(now), assigned: r.unsent.snapshot(),
 	}
-	p.snapshot.ColdRequestsLeft = p.turnsLeft(p.snapshot.ColdRequestsLeft)
+	p.snapshot.ColdRequestsLeft = p.coldRequestsLeft(p.snapshot.ColdRequestsLeft)
 	return p
 }
 
-// turnsLeft wraps turns to subtract the requests in p.assigned.
-func (p *schedulingRound) turnsLeft(turns func(*fleet.Backend) int) func(*fleet.Backend) int {
+// coldRequestsLeft wraps requestsLeft to subtract the requests in p.assigned.
+func (p *schedulingRound) coldRequestsLeft(requestsLeft func(*fleet.Backend) int) func(*fleet.Backend) int {
 	return func(b *fleet.Backend) int {
-		left := turns(b)
+		left := requestsLeft(b)
 		if left == coldstart.Unbounded {
 			return left
 		}
--- a/internal/gatewaynode/batch/submit.go
+++ b/internal/gatewaynode/batch/submit.go
@@ -101,7 +101,7 @@
 // chooseOwner returns the node that should own jobs with the given owner key in the
 // given regions, and whether there is one. It prefers nodes that are proven alive: a
 // job assigned to a node that is gone would wait until that is detected.
-func (m *Manager) chooseOwner(pool string, regions place.Regions, now time.Time) (presence.Node, bool) {
+func (m *Manager) chooseOwner(key string, regions place.Regions, now time.Time) (presence.Node, bool) {
 	keepers := presence.KeepersWithin(m.config.Presence.Proven(now), regions)
 	if len(keepers) == 0 && regions.Has(m.self.Region) {
 		return m.self, true
@@ -113,7 +113,7 @@
 	if len(keepers) == 0 {
 		return m.self, false
 	}
-	return presence.Rank(keepers, pool)[0], true
+	return presence.Rank(keepers, key)[0], true
 }
 
 // writeLeadingParts writes the leading parts of a specification that do not fit into
