--- a/internal/gatewaynode/eligibility/eligibility.go
+++ b/internal/gatewaynode/eligibility/eligibility.go
@@ -1,16 +1,16 @@
-// Package eligibility decides which back ends may get a request. All calls to back ends use
+// Package eligibility decides which backends may get a request. All calls to backends use
 // it: live requests, retries, resumed streams, items of batch jobs, calls to scoring services
-// and commands to back ends. Callers check when they choose a back end and again when they
+// and commands to backends. Callers check when they choose a backend and again when they
 // send.
 //
 // # Invariants
 //
-//   - The decision is a pure function of a back end, a request and a Snapshot of the
+//   - The decision is a pure function of a backend, a request and a Snapshot of the
 //     node's state.
-//   - This package only excludes back ends. Callers rank the eligible ones.
+//   - This package only excludes backends. Callers rank the eligible ones.
 //   - A call is sent only after Gate.Admit has admitted it on an established connection,
 //     because the process may have been suspended, or have waited for a connection, since
-//     the back end was chosen.
+//     the backend was chosen.
 package eligibility
 
 import (
@@ -35,13 +35,13 @@
 	MinVersion int64
 	// Version is the only allowed version if it is above 0.
 	Version int64
-	// Weights enables the checks of MinVersion and Version. The back end must then be known
+	// Weights enables the checks of MinVersion and Version. The backend must then be known
 	// to hold the model and must not be loading weights of it.
 	Weights bool
 	// Durable is set for requests of jobs. They survive the loss of this node, and so wait
 	// if the node's list of evacuations is out of date.
 	Durable bool
-	// AvoidCold is set for requests that wait until no back end is cold and leave the
+	// AvoidCold is set for requests that wait until no backend is cold and leave the
 	// capacity of cold ones to others.
 	AvoidCold bool
 }
@@ -51,7 +51,7 @@
 	Now time.Time
 	// Zones maps zones to regions.
 	Zones place.Map
-	// Failures returns how many back ends terminated while they ran a quarantined request,
+	// Failures returns how many backends terminated while they ran a quarantined request,
 	// 0 if the request is not quarantined. If Failures is nil, none is.
 	Failures func(f fingerprint.Fingerprint) int
 	// Evacuations is the set of evacuations in force.
@@ -61,15 +61,15 @@
 	// MaxEvacuationsAge is the maximum EvacuationsAge at which Durable requests are sent,
 	// 0 for no limit.
 	MaxEvacuationsAge time.Duration
-	// ColdRequestsLeft returns how many requests this node may send to a cold back end now,
-	// or coldstart.Unbounded. If it is nil, the number is unbounded for all back ends.
+	// ColdRequestsLeft returns how many requests this node may send to a cold backend now,
+	// or coldstart.Unbounded. If it is nil, the number is unbounded for all backends.
 	ColdRequestsLeft func(backend *fleet.Backend) int
 	// ColdRetryDelay returns the time until this node may send another request to a cold
-	// back end, 0 if unknown. If it is nil, the time is unknown for all back ends.
+	// backend, 0 if unknown. If it is nil, the time is unknown for all backends.
 	ColdRetryDelay func(backend *fleet.Backend) time.Duration
 }
 
-// Decide returns the reason why a back end may not get a request, nil if it may. It is a
+// Decide returns the reason why a backend may not get a request, nil if it may. It is a
 // pure function.
 func (s *Snapshot) Decide(b *fleet.Backend, r Request) Reason {
 	if failures := s.QuarantineFailures(r.Fingerprint); failures > 0 {
@@ -84,7 +84,7 @@
 	return s.checkCold(b, r)
 }
 
-// QuarantineFailures returns how many back ends terminated while they ran a quarantined
+// QuarantineFailures returns how many backends terminated while they ran a quarantined
 // request, 0 if the request is not quarantined.
 func (s *Snapshot) QuarantineFailures(f fingerprint.Fingerprint) int {
 	if f.IsZero() || s.Failures == nil {
@@ -93,10 +93,10 @@
 	return s.Failures(f)
 }
 
-// Eligible reports whether a back end may get a request.
+// Eligible reports whether a backend may get a request.
 func (s *Snapshot) Eligible(b *fleet.Backend, r Request) bool { return s.Decide(b, r) == nil }
 
-// checkCold checks the rate limit of a cold back end. Requests with AvoidCold are refused even
+// checkCold checks the rate limit of a cold backend. Requests with AvoidCold are refused even
 // below the limit.
 func (s *Snapshot) checkCold(b *fleet.Backend, r Request) Reason {
 	left := b.ColdUntil.Sub(s.Now)
@@ -110,7 +110,7 @@
 	return Cold{Left: left}
 }
 
-// checkBackend checks everything that does not depend on the models of a back end.
+// checkBackend checks everything that does not depend on the models of a backend.
 func (s *Snapshot) checkBackend(b *fleet.Backend, r Request) Reason {
 	if b.Draining {
 		return Draining{}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// checkModel checks the model and its version. A back end without known models passes unless
+// checkModel checks the model and its version. A backend without known models passes unless
 // Weights is set.
 func checkModel(b *fleet.Backend, r Request) Reason {
 	if r.Model == "" {
@@ -147,18 +147,18 @@
 	return nil
 }
 
-// Survey is a summary of the eligibility of back ends for a request.
+// Survey is a summary of the eligibility of backends for a request.
 type Survey struct {
-	// Eligible counts the eligible back ends.
+	// Eligible counts the eligible backends.
 	Eligible int
-	// Reasons counts the other back ends by the label of the reason.
+	// Reasons counts the other backends by the label of the reason.
 	Reasons map[string]int
-	// ColdWait is the shortest time until one of the cold back ends may get a request; 0 if
+	// ColdWait is the shortest time until one of the cold backends may get a request; 0 if
 	// none is excluded as cold.
 	ColdWait time.Duration
 }
 
-// Survey summarizes the eligibility of back ends for a request. It is a pure function.
+// Survey summarizes the eligibility of backends for a request. It is a pure function.
 func (s *Snapshot) Survey(backends []fleet.Backend, r Request) Survey {
 	survey := Survey{Reasons: make(map[string]int)}
 	for i := range backends {
@@ -175,7 +175,7 @@
 	return survey
 }
 
-// coldWait returns the time until a cold back end is warm or may get another request.
+// coldWait returns the time until a cold backend is warm or may get another request.
 func (s *Snapshot) coldWait(b *fleet.Backend, cold Cold) time.Duration {
 	if s.ColdRetryDelay == nil {
 		return cold.Left
--- a/internal/gatewaynode/eligibility/eligibility_test.go
+++ b/internal/gatewaynode/eligibility/eligibility_test.go
@@ -88,7 +88,7 @@
 }
 
 // TestAdmitUsesCurrentState checks that Admit uses the state at the time of the call and not
-// that of the choice of the back end.
+// that of the choice of the backend.
 func TestAdmitUsesCurrentState(t *testing.T) {
 	gate, backends, book := newTestGate(1, 0)
 	if got := LabelOf(gate.Admit("b", Request{})); got != "gone" {
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestAdmitCountsColdCalls checks that a call to a cold back end uses up the node's share.
+// TestAdmitCountsColdCalls checks that a call to a cold backend uses up the node's share.
 func TestAdmitCountsColdCalls(t *testing.T) {
 	gate, backends, _ := newTestGate(1, 0)
 	backends.Update([]fleet.Instance{{ID: "b", Revision: 1, ColdDuration: time.Minute}}, nil)
--- a/internal/gatewaynode/eligibility/reason.go
+++ b/internal/gatewaynode/eligibility/reason.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Reason is the reason why a back end may not get a request. The implementations are the
-// types of this file. A nil Reason means that the back end is eligible.
+// Reason is the reason why a backend may not get a request. The implementations are the
+// types of this file. A nil Reason means that the backend is eligible.
 type Reason interface {
 	// Label returns the name of the reason in logs and metrics. It is constant per type.
 	Label() string
 	fmt.Stringer
 }
 
-// Gone means that the registry no longer lists the back end.
+// Gone means that the registry no longer lists the backend.
 type Gone struct{}
 
-// Draining means that the back end is shutting down and accepts no new requests.
+// Draining means that the backend is shutting down and accepts no new requests.
 type Draining struct{}
 
-// Evacuated means that the zone of the back end is evacuated.
+// Evacuated means that the zone of the backend is evacuated.
 type Evacuated struct {
 	Zone string
 	// Elapsed is the time since this node learned of the evacuation.
 	Elapsed time.Duration
 }
 
-// OtherRegion means that the request may not be served in the region of the back end.
+// OtherRegion means that the request may not be served in the region of the backend.
 type OtherRegion struct {
-	// Region is the region of the back end, empty if unknown.
+	// Region is the region of the backend, empty if unknown.
 	Region string
 	// Allowed lists the allowed regions.
 	Allowed string
@@ -42,29 +42,29 @@
 	Age time.Duration
 }
 
-// NoModel means that the back end does not hold the model.
+// NoModel means that the backend does not hold the model.
 type NoModel struct{}
 
-// OtherWeights means that the back end's version of the model is not among the allowed ones.
+// OtherWeights means that the backend's version of the model is not among the allowed ones.
 type OtherWeights struct {
-	// Version is the version that the back end holds.
+	// Version is the version that the backend holds.
 	Version int64
 }
 
-// Loading means that the back end is loading weights of the model.
+// Loading means that the backend is loading weights of the model.
 type Loading struct{}
 
-// Cold means that the back end is cold and that this node may not send it the request: its
-// share is used up, or the request waits for warm back ends.
+// Cold means that the backend is cold and that this node may not send it the request: its
+// share is used up, or the request waits for warm backends.
 type Cold struct {
-	// Left is how much longer the back end is expected to be cold.
+	// Left is how much longer the backend is expected to be cold.
 	Left time.Duration
 }
 
-// Quarantined means that back ends terminated while they ran equal requests. No back end may
+// Quarantined means that backends terminated while they ran equal requests. No backend may
 // get the request.
 type Quarantined struct {
-	// Failures is the number of these back ends.
+	// Failures is the number of these backends.
 	Failures int
 }
 
@@ -141,7 +141,7 @@
 	return fmt.Sprintf("cold for %d ms more, no turn left", r.Left.Milliseconds())
 }
 
-// Error is the error for a call that was not sent because the back end is not eligible.
+// Error is the error for a call that was not sent because the backend is not eligible.
 type Error struct{ Reason Reason }
 
 // LabelOf returns the label of the Reason of an *Error in the chain of err, empty if there is
--- a/internal/gatewaynode/eligibility/senders_test.go
+++ b/internal/gatewaynode/eligibility/senders_test.go
@@ -34,8 +34,8 @@
 	"gateway.run":               "sends to nodes, for the store",
 }
 
-// TestSendersPassGate guards against calls to back ends that bypass Gate.Admit: each
-// function that can send must be listed in senders. Calls to back ends set
+// TestSendersPassGate guards against calls to backends that bypass Gate.Admit: each
+// function that can send must be listed in senders. Calls to backends set
 // upstream.Call.Admit. Only calls to the store, to duties and between nodes may avoid the
 // upstream client.
 func TestSendersPassGate(t *testing.T) {
--- a/internal/gatewaynode/fleet/fleet.go
+++ b/internal/gatewaynode/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet holds a node's view of the back ends: the instances in the platform's
+// Package fleet holds a node's view of the backends: the instances in the platform's
 // registry, the load and speed of each as observed in the answers to this node, and the
 // suspensions after failures.
 //
@@ -18,7 +18,7 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/place"
 )
 
-// Instance is a back end as listed in the registry.
+// Instance is a backend as listed in the registry.
 type Instance struct {
 	ID       string
 	Service  string
@@ -78,13 +78,13 @@
 	LoadingModel string
 	// LoadingUntil is when LoadingModel expires.
 	LoadingUntil time.Time
-	// ColdUntil is until when the back end is assumed to be cold: slow, and overloaded by
+	// ColdUntil is until when the backend is assumed to be cold: slow, and overloaded by
 	// the request rate of a warm one.
 	ColdUntil time.Time
 }
 
-// Memory is the token memory of a back end, shared by its running requests. All sizes are
-// in tokens. A back end that runs out of it preempts requests.
+// Memory is the token memory of a backend, shared by its running requests. All sizes are
+// in tokens. A backend that runs out of it preempts requests.
 type Memory struct {
 	// Capacity is the capacity, 0 if unknown.
 	Capacity int
@@ -109,12 +109,12 @@
 	return float64(tokens) / float64(m.Capacity)
 }
 
-// Reach describes the path from a node to a back end.
+// Reach describes the path from a node to a backend.
 type Reach struct {
 	Distance place.Distance
-	// Idle counts the idle connections to the back end.
+	// Idle counts the idle connections to the backend.
 	Idle int
-	// Order is the rank of the back end in the node's own order of all back ends; the
+	// Order is the rank of the backend in the node's own order of all backends; the
 	// lowest comes first.
 	Order uint64
 }
@@ -136,10 +136,10 @@
 	return c.SmoothedPace
 }
 
-// Cold reports whether the back end is assumed to be cold.
+// Cold reports whether the backend is assumed to be cold.
 func (b Backend) Cold(now time.Time) bool { return b.ColdUntil.After(now) }
 
-// Suspended reports whether the back end is suspended after failures.
+// Suspended reports whether the backend is suspended after failures.
 func (b Backend) Suspended(now time.Time) bool { return now.Before(b.SuspendedUntil) }
 
 // slowdownDecay is the time constant of the exponential decay of a reported slowdown. It is
@@ -156,7 +156,7 @@
 	return 1 + (b.Slowdown-1)*math.Exp(-float64(age)/float64(slowdownDecay))
 }
 
-// Load returns the fraction of the back end's slots that this node believes to be in use.
+// Load returns the fraction of the backend's slots that this node believes to be in use.
 // It exceeds 1 if there are more requests than slots.
 func (b Backend) Load() float64 {
 	slots := max(b.Slots, 1)
@@ -188,7 +188,7 @@
 	}
 }
 
-// Fleet holds all back ends. It is safe for concurrent use.
+// Fleet holds all backends. It is safe for concurrent use.
 type Fleet struct {
 	mu        sync.Mutex
 	instances map[string]*entry
@@ -335,7 +335,7 @@
 	f.updateCondition(id, func(c *Condition) { c.AssignedModel = model })
 }
 
-// Service returns the back ends of a service, sorted by id.
+// Service returns the backends of a service, sorted by id.
 func (f *Fleet) Service(service string, now time.Time) []Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -347,7 +347,7 @@
 	return backends
 }
 
-// Slots returns the total number of slots of the back ends of a service and the number of
+// Slots returns the total number of slots of the backends of a service and the number of
 // different models that the registry lists for them.
 func (f *Fleet) Slots(service string) (slots, models int) {
 	f.mu.Lock()
@@ -362,7 +362,7 @@
 	return slots, len(held)
 }
 
-// Models returns the models that the registry lists for the back ends of a service, sorted.
+// Models returns the models that the registry lists for the backends of a service, sorted.
 func (f *Fleet) Models(service string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -375,7 +375,7 @@
 	return slices.Sorted(maps.Keys(held))
 }
 
-// All returns all back ends, sorted by id.
+// All returns all backends, sorted by id.
 func (f *Fleet) All(now time.Time) []Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -387,7 +387,7 @@
 	return backends
 }
 
-// Get returns the back end with the given id, and whether it exists.
+// Get returns the backend with the given id, and whether it exists.
 func (f *Fleet) Get(id string, now time.Time) (Backend, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gatewaynode/fleet/observe.go
+++ b/internal/gatewaynode/fleet/observe.go
@@ -11,10 +11,10 @@
 	maxSuspension = 4 * time.Second
 )
 
-// Load is the load that a back end reports in an answer.
+// Load is the load that a backend reports in an answer.
 type Load struct {
 	Running, Waiting int
-	// Slowdown is the factor by which the back end is slower than usual, 0 if it does not
+	// Slowdown is the factor by which the backend is slower than usual, 0 if it does not
 	// report one.
 	Slowdown float64
 }
@@ -29,7 +29,7 @@
 	})
 }
 
-// Normalize converts a measured time to the time at the usual speed of the back end. It
+// Normalize converts a measured time to the time at the usual speed of the backend. It
 // returns took if no slowdown is reported.
 func (l Load) Normalize(took time.Duration) time.Duration {
 	if l.Slowdown <= 0 {
--- a/internal/gatewaynode/quarantine/doc.go
+++ b/internal/gatewaynode/quarantine/doc.go
@@ -1,5 +1,5 @@
-// Package quarantine stops requests that crash the back ends running them from reaching
-// more back ends: once QuarantineThreshold back ends have failed while running the same work,
+// Package quarantine stops requests that crash the backends running them from reaching
+// more backends: once QuarantineThreshold backends have failed while running the same work,
 // no node forwards that work until enough of the failures are forgotten.
 //
 // A work is what a request asks for; requests for the same work have the same
@@ -8,20 +8,20 @@
 // # Evidence
 //
 // A broken connection alone is no evidence: it can also result from a reset, a cancelled
-// call or a malformed response. A back end counts as failed for a request that it had not
+// call or a malformed response. A backend counts as failed for a request that it had not
 // answered
 //
 //   - at once, if its address refuses a new connection after the request's connection
 //     broke (FailureRefused). Every request that was unanswered there is suspected.
-//   - once the registry no longer lists the back end and nothing more has been received
+//   - once the registry no longer lists the backend and nothing more has been received
 //     from it (FailureUnregistered), as after a power loss, where connections stay silent.
 //     The failure is withdrawn if the same entry reappears.
 //   - provisionally, if a new connection to its address times out (FailureUnresponsive). Only
 //     the observing node acts on this, until the registry confirms it or it expires.
 //
-// The failure of a draining back end is ignored. A complete 2xx response clears a work,
+// The failure of a draining backend is ignored. A complete 2xx response clears a work,
 // since the work has then run to its end without harm. Common harmless requests are
-// therefore not quarantined while back ends fail for other reasons, and a request that ran
+// therefore not quarantined while backends fail for other reasons, and a request that ran
 // beside a deadly one collects single failures only.
 //
 // # Replication
@@ -34,7 +34,7 @@
 // # Expiry
 //
 // The oldest failure of a work is forgotten FailureTTL after the last change to the work, then
-// the next one. A work that is still deadly fails one more back end and is quarantined
+// the next one. A work that is still deadly fails one more backend and is quarantined
 // again. A success, or an operator through Handler, clears all failures of a work.
 //
 // # Bounds
--- a/internal/gatewaynode/quarantine/evidence.go
+++ b/internal/gatewaynode/quarantine/evidence.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// QuarantineThreshold is the number of back-end failures that quarantines a work. With fewer, a
+	// QuarantineThreshold is the number of backend failures that quarantines a work. With fewer, a
 	// harmless request that ran beside a deadly one in two attempts would be quarantined.
 	QuarantineThreshold = 3
 	// FailureTTL is how long after the last change to a work its oldest failure is forgotten.
@@ -20,28 +20,28 @@
 	// deletes the row and the others see it deleted.
 	keepSpread = FailureTTL / 10
 	// silentKeep is how long an unconfirmed FailureUnresponsive counts. It exceeds the 3.5 s
-	// within which the registry drops a back end that stopped reporting.
+	// within which the registry drops a backend that stopped reporting.
 	silentKeep = 5 * time.Second
 )
 
-// FailureKind is how the failure of a back end was detected.
+// FailureKind is how the failure of a backend was detected.
 type FailureKind string
 
 const (
 	// FailureRefused means that the address refused a new connection.
 	FailureRefused FailureKind = "refused"
-	// FailureUnregistered means that the registry no longer lists the back end.
+	// FailureUnregistered means that the registry no longer lists the backend.
 	FailureUnregistered FailureKind = "gone"
 	// FailureUnresponsive means that a new connection failed otherwise, usually by a timeout. It is
 	// provisional and is never stored.
 	FailureUnresponsive FailureKind = "silent"
 )
 
-// Failure is the failure of a back end while it was running a work.
+// Failure is the failure of a backend while it was running a work.
 type Failure struct {
 	Work    fingerprint.Fingerprint
 	Backend string
-	// Sequence numbers the failures of one back end from 0, since a back end may restart under
+	// Sequence numbers the failures of one backend from 0, since a backend may restart under
 	// the same name.
 	Sequence int
 	Service  string
@@ -108,14 +108,14 @@
 }
 
 const (
-	// restartsAfter is the minimum time between two failures of one back end. A refused
+	// restartsAfter is the minimum time between two failures of one backend. A refused
 	// connection sooner after a failure belongs to the same failure.
 	restartsAfter = time.Second
 	// lapsesWithin is how long after a failure the registry may still report it.
 	lapsesWithin = 5 * time.Second
 )
 
-// sequenceOf returns the number of the failure of a back end that is detected now: that of a
+// sequenceOf returns the number of the failure of a backend that is detected now: that of a
 // known failure if this is another sign of it, otherwise the next one.
 func (s *suspect) sequenceOf(backend string, how FailureKind, now time.Time) int {
 	same := restartsAfter
--- a/internal/gatewaynode/quarantine/outbox.go
+++ b/internal/gatewaynode/quarantine/outbox.go
@@ -2,7 +2,7 @@
 
 const (
 	// maxQueuedRows bounds the queued writes and, separately, the queued deletions. It has room
-	// for a hundred works that fail three back ends each.
+	// for a hundred works that fail three backends each.
 	maxQueuedRows = 512
 	// singleFailureQueueLimit is the length of the queue from which on the only failure of a
 	// work is dropped. A power loss in a zone yields thousands of these, of harmless requests.
--- a/internal/gatewaynode/quarantine/probe.go
+++ b/internal/gatewaynode/quarantine/probe.go
@@ -14,10 +14,10 @@
 	// one, since an exiting process may close its listener after its connections.
 	probeAgain = 100 * time.Millisecond
 	// maxProbes bounds the concurrent probes of a node. When many connections are reset at
-	// once, hundreds of nodes would otherwise probe hundreds of back ends. Back ends that are
+	// once, hundreds of nodes would otherwise probe hundreds of backends. Backends that are
 	// not probed are left to the registry.
 	maxProbes = 16
-	// silentProbeRest is the minimum time between two probes of a back end whose connections
+	// silentProbeRest is the minimum time between two probes of a backend whose connections
 	// are silent but not lost, as each probe opens a connection.
 	silentProbeRest = time.Second
 )
@@ -34,7 +34,7 @@
 	probeUnresponsive
 )
 
-// probe starts a probe of a back end unless one is in progress or there are too many. The
+// probe starts a probe of a backend unless one is in progress or there are too many. The
 // caller holds t.mu.
 func (t *Tracker) probe(held *backend) {
 	if held.probing || t.probes >= maxProbes {
@@ -74,7 +74,7 @@
 	}
 }
 
-// found handles the result of a probe that started at began. If the back end is there, the
+// found handles the result of a probe that started at began. If the backend is there, the
 // calls lost before the probe are dropped, and ones lost since cause another probe. The
 // caller holds t.mu.
 func (t *Tracker) found(held *backend, as probeResult, began, now time.Time) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// recordUnresponsive records a provisional failure of a back end that does not respond, for
+// recordUnresponsive records a provisional failure of a backend that does not respond, for
 // its calls that were lost or were cancelled without a recent response. The caller holds t.mu.
 func (t *Tracker) recordUnresponsive(held *backend, now time.Time) {
 	if held.leaving {
@@ -114,7 +114,7 @@
 	}
 }
 
-// endedUnder records the failure of a back end for the calls that may have been running
+// endedUnder records the failure of a backend for the calls that may have been running
 // there, unless it was draining, and follows its calls no longer. The caller holds t.mu.
 func (t *Tracker) endedUnder(held *backend, how FailureKind, now time.Time) {
 	works, count := make(map[string]bool), 0
--- a/internal/gatewaynode/quarantine/runs.go
+++ b/internal/gatewaynode/quarantine/runs.go
@@ -12,16 +12,16 @@
 const (
 	// maxRuns bounds the calls that a node follows.
 	maxRuns = 16384
-	// endedKeep is how long a call that this node cancelled may still run at its back end.
+	// endedKeep is how long a call that this node cancelled may still run at its backend.
 	endedKeep = 500 * time.Millisecond
-	// silentRunKeep is how long an ended call stays suspected if the back end was silent: the
-	// registry has dropped a failed back end by then.
+	// silentRunKeep is how long an ended call stays suspected if the backend was silent: the
+	// registry has dropped a failed backend by then.
 	silentRunKeep = 4 * time.Second
-	// heardWithin is the time without data from the back end after which a call is silent.
+	// heardWithin is the time without data from the backend after which a call is silent.
 	heardWithin = time.Second
 )
 
-// run is a call to a back end that has no complete response.
+// run is a call to a backend that has no complete response.
 type run struct {
 	tracker *Tracker
 	// backend is nil if the run is not followed since there are too many.
@@ -30,7 +30,7 @@
 	// so that its body can be freed.
 	request string
 	work    fingerprint.Fingerprint
-	// at is the id of the back end.
+	// at is the id of the backend.
 	at string
 	// cut cancels the call.
 	cut  func()
@@ -44,7 +44,7 @@
 	lost bool
 }
 
-// silent reports whether nothing arrived from the back end on this call within heardWithin
+// silent reports whether nothing arrived from the backend on this call within heardWithin
 // before now.
 func (r *run) silent(now time.Time) bool {
 	last := r.sent
@@ -54,7 +54,7 @@
 	return now.Sub(last) >= heardWithin
 }
 
-// suspected reports whether the call may have been running at a back end that failed shortly
+// suspected reports whether the call may have been running at a backend that failed shortly
 // before now.
 func (r *run) suspected(now time.Time) bool {
 	if r.ended.IsZero() || r.lost {
@@ -66,11 +66,11 @@
 	return now.Sub(r.ended) < endedKeep
 }
 
-// backend is a back end with calls that are followed.
+// backend is a backend with calls that are followed.
 type backend struct {
 	id, address, service string
 	runs                 map[*run]struct{}
-	// leaving reports whether the registry listed the back end as draining at any time.
+	// leaving reports whether the registry listed the backend as draining at any time.
 	leaving bool
 	// probing reports whether a probe is in progress; probed is when the last one ended.
 	probing bool
@@ -124,7 +124,7 @@
 func (r *run) Heard() { r.heard.Store(int64(clock.Now())) }
 
 // successFrom and successBelow bound the statuses of responses that clear a work. Other
-// statuses do not show that the work ran, as a back end may reject a queued request.
+// statuses do not show that the work ran, as a backend may reject a queued request.
 const (
 	successFrom  = 200
 	successBelow = 300
--- a/internal/gatewaynode/quarantine/tracker.go
+++ b/internal/gatewaynode/quarantine/tracker.go
@@ -21,9 +21,9 @@
 	// Node is the name of this node.
 	Node string
 	Log  *eventlog.Log
-	// Dial opens the connections that probe back ends.
+	// Dial opens the connections that probe backends.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Backend returns the registry's entry for a back end.
+	// Backend returns the registry's entry for a backend.
 	Backend func(id string) Registered
 	// Store holds the rows of Table.
 	Store rowstore.Store
@@ -32,7 +32,7 @@
 	OnHeld func()
 }
 
-// Registered is the registry's entry for a back end; Present is false if there is none.
+// Registered is the registry's entry for a backend; Present is false if there is none.
 type Registered struct {
 	Present, Leaving bool
 	Service          string
@@ -41,7 +41,7 @@
 // maxSuspects bounds the suspected works that a node remembers, to about 2 MB.
 const maxSuspects = 4096
 
-// Tracker attributes failures of back ends to the works that they were running and decides
+// Tracker attributes failures of backends to the works that they were running and decides
 // which works are quarantined. It is safe for concurrent use.
 type Tracker struct {
 	config Config
@@ -77,7 +77,7 @@
 	return t
 }
 
-// Held returns the number of back ends that failed while running a quarantined work, or 0 if
+// Held returns the number of backends that failed while running a quarantined work, or 0 if
 // the work is not quarantined.
 func (t *Tracker) Held(work fingerprint.Fingerprint) int { return (*t.held.Load())[work] }
 
@@ -161,7 +161,7 @@
 }
 
 // saySuspected logs a failure of a work from the second on. The first failures are covered by the
-// event for the back end, since its failure makes all of its unanswered requests suspects.
+// event for the backend, since its failure makes all of its unanswered requests suspects.
 // The caller holds t.mu.
 func (t *Tracker) saySuspected(s *suspect, k known) {
 	count := s.count(k.at)
@@ -227,7 +227,7 @@
 }
 
 // cutRuns cancels the calls of a work that are in progress, as they may still be queued at
-// their back ends. It returns their number. The caller holds t.mu.
+// their backends. It returns their number. The caller holds t.mu.
 func (t *Tracker) cutRuns(work fingerprint.Fingerprint) int {
 	count := 0
 	for _, held := range t.backends {
@@ -317,8 +317,8 @@
 	return list
 }
 
-// RegistryChanged compares the followed back ends with the registry and must be called after
-// each change of it. Calls to a back end without an entry count as evidence, and a
+// RegistryChanged compares the followed backends with the registry and must be called after
+// each change of it. Calls to a backend without an entry count as evidence, and a
 // FailureUnregistered of this node is withdrawn if the entry is back.
 func (t *Tracker) RegistryChanged() {
 	t.mu.Lock()
@@ -386,7 +386,7 @@
 	return t.unfollowed, t.outbox.dropped
 }
 
-// sayEnded logs the failure of a back end that had unanswered calls. The caller holds t.mu.
+// sayEnded logs the failure of a backend that had unanswered calls. The caller holds t.mu.
 func (t *Tracker) sayEnded(held *backend, how FailureKind, count int, works map[string]bool) {
 	if count == 0 {
 		return
--- a/internal/gatewaynode/quarantine/tracker_test.go
+++ b/internal/gatewaynode/quarantine/tracker_test.go
@@ -21,12 +21,12 @@
 	"github.com/sliplift/sliplift/internal/gatewaynode/upstream"
 )
 
-// scene is the Tracker of one node, with back ends whose state a script sets.
+// scene is the Tracker of one node, with backends whose state a script sets.
 type scene struct {
 	tracker  *Tracker
 	store    *rowstoretest.Store
 	backends map[string]Registered
-	// dials maps back ends to the outcome of a dial: "refused", "silent" (a timeout) or, by
+	// dials maps backends to the outcome of a dial: "refused", "silent" (a timeout) or, by
 	// default, success.
 	dials  map[string]string
 	traces map[string]upstream.Trace
@@ -78,7 +78,7 @@
 	return otherwise
 }
 
-// act runs one command of a script. Its first argument is a call, a back end, a work or a
+// act runs one command of a script. Its first argument is a call, a backend, a work or a
 // duration, depending on the command.
 func (s *scene) act(d *datadriven.TestData) (string, error) {
 	name := ""
--- a/internal/gatewaynode/quarantine/trial.go
+++ b/internal/gatewaynode/quarantine/trial.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// trialAfter is how long a work is quarantined before its trial. By then, back ends that
+	// trialAfter is how long a work is quarantined before its trial. By then, backends that
 	// failed together, whatever the reason, have usually restarted.
 	trialAfter = 10 * time.Second
 	// trialPrefix is the prefix of the keys of trial rows.
@@ -74,7 +74,7 @@
 }
 
 // Try acquires the trial of a quarantined work and reports whether this node has it. The
-// node may then send the work once, to one back end. There is one trial for all nodes, which
+// node may then send the work once, to one backend. There is one trial for all nodes, which
 // belongs to the node that creates its row. If the trial succeeds, the work is cleared;
 // otherwise it stays quarantined until one of its failures is forgotten.
 func (t *Tracker) Try(ctx context.Context, work fingerprint.Fingerprint) bool {
--- a/internal/gatewaynode/upstream/body.go
+++ b/internal/gatewaynode/upstream/body.go
@@ -63,7 +63,7 @@
 
 // Linger is how long a caller lets a call continue whose answer is no longer needed. If the
 // answer completes in this time, the connection can be reused; otherwise closing it tells
-// the back end to stop.
+// the backend to stop.
 const Linger = 400 * time.Millisecond
 
 // Close ends the call. It closes the connection unless the body was read to its end.
--- a/internal/gatewaynode/upstream/closeidle_test.go
+++ b/internal/gatewaynode/upstream/closeidle_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestTimeoutClosesIdleConnections checks that the other idle connections to a back
-// end are closed after a call that timed out, but not after one that its caller cancelled or
+// TestTimeoutClosesIdleConnections checks that the other idle connections to a backend
+// are closed after a call that timed out, but not after one that its caller cancelled or
 // that another attempt made superfluous.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/gatewaynode/upstream/connections.go
+++ b/internal/gatewaynode/upstream/connections.go
@@ -31,7 +31,7 @@
 	OpenBusy OpenCause = "busy"
 	// OpenExpired means that an earlier connection reached its idle timeout.
 	OpenExpired OpenCause = "expired"
-	// OpenClosed means that the back end closed an earlier connection or announced to.
+	// OpenClosed means that the backend closed an earlier connection or announced to.
 	OpenClosed OpenCause = "closed"
 	// OpenAborted means that an earlier connection was closed by a cancelled or failed call.
 	OpenAborted OpenCause = "cut"
@@ -48,7 +48,7 @@
 	Took time.Duration
 }
 
-// Peer identifies one incarnation of a back end at an address.
+// Peer identifies one incarnation of a backend at an address.
 type Peer struct {
 	Address, Instance string
 }
@@ -95,7 +95,7 @@
 	reader *bufio.Reader
 	// roundTrip is the time that it took to connect.
 	roundTrip time.Duration
-	// keep is the idle timeout that the back end stated, 0 if none.
+	// keep is the idle timeout that the backend stated, 0 if none.
 	keep time.Duration
 	// idleSince is when an answer was last completed on the connection, or when it was first
 	// returned unused.
@@ -218,7 +218,7 @@
 }
 
 // idleLimit returns how long a connection may stay idle. It is shorter than the timeout that
-// the back end stated, see idleMargin.
+// the backend stated, see idleMargin.
 func (c *Client) idleLimit(conn *connection) time.Duration {
 	if conn.keep == 0 {
 		return c.config.IdleTimeout
--- a/internal/gatewaynode/upstream/receipt.go
+++ b/internal/gatewaynode/upstream/receipt.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// Receipt is how much of a call the back end had read when the connection ended.
+// Receipt is how much of a call the backend had read when the connection ended.
 type Receipt int
 
 const (
--- a/internal/gatewaynode/upstream/receipt_test.go
+++ b/internal/gatewaynode/upstream/receipt_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestReceipts checks the receipt of a call for each way in which a back end can end the
+// TestReceipts checks the receipt of a call for each way in which a backend can end the
 // connection.
 func TestReceipts(t *testing.T) {
 	if runtime.GOOS != "linux" {
--- a/internal/gatewaynode/upstream/trace.go
+++ b/internal/gatewaynode/upstream/trace.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// Observer observes the calls that back ends may run. Implementations must be safe for
+// Observer observes the calls that backends may run. Implementations must be safe for
 // concurrent use.
 type Observer interface {
 	// Begin is called immediately before a call is sent. cut cancels the call and may be
@@ -29,7 +29,7 @@
 const (
 	// EndComplete means that the complete answer was received.
 	EndComplete End = iota
-	// EndNotRun means that the back end stated that it did not run the call.
+	// EndNotRun means that the backend stated that it did not run the call.
 	EndNotRun
 	// EndLost means that the other side ended the connection before the answer was complete.
 	EndLost
--- a/internal/gatewaynode/upstream/trace_test.go
+++ b/internal/gatewaynode/upstream/trace_test.go
@@ -38,7 +38,7 @@
 	c.ends.list = append(c.ends.list, fmt.Sprintf("%s %s %d", c.id, names[end], status))
 }
 
-// TestWitnessIsToldHowCallsEnd checks that calls that the back end broke off, that this node
+// TestWitnessIsToldHowCallsEnd checks that calls that the backend broke off, that this node
 // cancelled and that received a malformed answer are reported as different ends.
 func TestWitnessIsToldHowCallsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gatewaynode/upstream/upstream.go
+++ b/internal/gatewaynode/upstream/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream sends single requests to back ends over HTTP/1.1 and reports whether
+// Package upstream sends single requests to backends over HTTP/1.1 and reports whether
 // each may have run.
 //
 // The client of net/http retries on its own and does not report whether anything was sent.
@@ -6,7 +6,7 @@
 // answers. A request has one of these fates:
 //
 //	NotSent   no byte was written: it has not run
-//	NotRun    the back end stated that it did not and will not run it
+//	NotRun    the backend stated that it did not and will not run it
 //	Unknown   it was sent and may have run
 //	Answered  the head of its answer was received
 //
@@ -36,7 +36,7 @@
 const (
 	// NotSent means that no byte was written, so that the request has not run.
 	NotSent Fate = iota
-	// NotRun means that the back end stated that it did not and will not run the request.
+	// NotRun means that the backend stated that it did not and will not run the request.
 	NotRun
 	// Unknown means that the request was sent and may have run.
 	Unknown
@@ -49,7 +49,7 @@
 	return [...]string{"not_sent", "not_run", "unknown", "answered"}[f]
 }
 
-// Call is a request to one back end.
+// Call is a request to one backend.
 type Call struct {
 	ID      string
 	Method  string
@@ -58,14 +58,14 @@
 	Header  http.Header
 	Body    []byte
 	Address string
-	// Instance is the incarnation of the back end that the call is meant for. Another one
+	// Instance is the incarnation of the backend that the call is meant for. Another one
 	// that has taken over the address refuses the call.
 	Instance string
 	// Tenant is the caller on whose behalf the call is made, or empty.
 	Tenant string
-	// Deadline is when the back end must stop running the call; zero means none.
+	// Deadline is when the backend must stop running the call; zero means none.
 	Deadline time.Time
-	// Priority ranks the call at the back end, from 1, the highest, to 9. 0 means unset and
+	// Priority ranks the call at the backend, from 1, the highest, to 9. 0 means unset and
 	// counts as 5. See PriorityOf.
 	Priority int
 	// Resume continues a stream after the event with the number ResumeAfter.
@@ -76,7 +76,7 @@
 	// Purpose labels the call in metrics of connections.
 	Purpose Purpose
 	// ProvenSince, if set, excludes idle connections without an answer since that time.
-	// Connections to a back end can go silent together, without a reset, while new ones
+	// Connections to a backend can go silent together, without a reset, while new ones
 	// work, so a retry after a silent attempt must not wait on another of them.
 	ProvenSince time.Time
 	// Work is the fingerprint of the request. Calls without one are not reported to the
@@ -118,12 +118,12 @@
 	// HasLoad reports whether Running, Waiting and Slots are set.
 	HasLoad                 bool
 	Running, Waiting, Slots int
-	// Slowdown is the current processing time of the back end as a multiple of its usual
+	// Slowdown is the current processing time of the backend as a multiple of its usual
 	// one, or 0 if unknown.
 	Slowdown float64
 	// Version is the version of the weights that produced the answer, or 0 if unknown.
 	Version int64
-	// Stamp is the back end's signature of the answer, or empty.
+	// Stamp is the backend's signature of the answer, or empty.
 	Stamp string
 }
 
@@ -132,7 +132,7 @@
 	return fleet.Load{Running: m.Running, Waiting: m.Waiting, Slowdown: m.Slowdown}
 }
 
-// Codec maps calls and answers to the headers of the back ends' protocol.
+// Codec maps calls and answers to the headers of the backends' protocol.
 type Codec interface {
 	// Encode returns the header of a call: Call.Header and the fields of the protocol.
 	Encode(call *Call, now time.Time) http.Header
@@ -152,15 +152,15 @@
 	After time.Duration
 	// End is how the call ended, if Fate is not NotSent.
 	End End
-	// Receipt is how much of the call the back end had read.
+	// Receipt is how much of the call the backend had read.
 	Receipt Receipt
-	// Heard reports whether any answer of the back end was received after Sent, on any
+	// Heard reports whether any answer of the backend was received after Sent, on any
 	// connection.
 	Heard bool
 	// RoundTrip is the time that the connection took to open, about one round trip.
 	RoundTrip time.Duration
 	// Withheld reports that Call.Admit refused the call, which is no sign of a fault of the
-	// back end.
+	// backend.
 	Withheld bool
 	// kept reports that the connection is usable and was returned to the pool.
 	kept bool
@@ -201,8 +201,8 @@
 	ErrSurplus = errors.New("answer belongs to another request")
 	// ErrTruncated means that an answer ended early or was too long to discard.
 	ErrTruncated = errors.New("answer cut short")
-	// ErrSilent is the cause with which a caller cancels the context of a call if the back
-	// end sent nothing for too long.
+	// ErrSilent is the cause with which a caller cancels the context of a call if the backend
+	// sent nothing for too long.
 	ErrSilent = errors.New("nothing came for too long")
 	// ErrQuarantined means that the Observer cancelled the call.
 	ErrQuarantined = errors.New("cancelled by this node: the request is quarantined")
@@ -214,14 +214,14 @@
 	Codec Codec
 	// DialTimeout bounds the opening of a connection; 0 means one second.
 	DialTimeout time.Duration
-	// IdleTimeout is the idle timeout of connections for which the back end states none; 0
+	// IdleTimeout is the idle timeout of connections for which the backend states none; 0
 	// means four seconds.
 	IdleTimeout time.Duration
 	// Dialer opens connections; nil means a net.Dialer. Tests replace it.
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 	// OnOpen, if not nil, is called for each new connection.
 	OnOpen func(Opening)
-	// Observer, if not nil, observes the calls that back ends may run.
+	// Observer, if not nil, observes the calls that backends may run.
 	Observer Observer
 	// MustAdmit makes Do panic on a call without Call.Admit.
 	MustAdmit bool
@@ -230,11 +230,11 @@
 const (
 	defaultDialTimeout = time.Second
 	defaultIdle        = 4 * time.Second
-	// idleMargin is subtracted from the idle timeout that a back end states, so that a call
-	// is not sent on a connection that the back end is closing.
+	// idleMargin is subtracted from the idle timeout that a backend states, so that a call
+	// is not sent on a connection that the backend is closing.
 	idleMargin = 300 * time.Millisecond
 	// minSilence is how long a call must have waited for an answer before its failure
-	// closes the other idle connections to the back end. It exceeds the usual time to the
+	// closes the other idle connections to the backend. It exceeds the usual time to the
 	// head of an answer.
 	minSilence = 500 * time.Millisecond
 	// inlineBody is the largest body, in bytes, that is written in full before the answer is
@@ -290,7 +290,7 @@
 }
 
 // Do sends a call and returns once the head of its answer was received. Its errors are of
-// type *Error. Cancelling ctx closes the connection, on which the back end stops the run.
+// type *Error. Cancelling ctx closes the connection, on which the backend stops the run.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := c.connect(ctx, call)
 	if err != nil {
@@ -340,7 +340,7 @@
 }
 
 // gaveUp reports whether a context ended because no answer came in time, which casts doubt
-// on the other connections to the back end. A caller's cancellation, or that of the slower
+// on the other connections to the backend. A caller's cancellation, or that of the slower
 // of two attempts, does not.
 func gaveUp(ctx context.Context) bool {
 	cause := context.Cause(ctx)
