--- a/internal/gatewaynode/eligibility/gate.go
+++ b/internal/gatewaynode/eligibility/gate.go
@@ -21,18 +21,18 @@
 	EvacuationsAge func(now time.Time) time.Duration
 	// MaxEvacuationsAge is used as Snapshot.MaxEvacuationsAge.
 	MaxEvacuationsAge time.Duration
-	// Share returns this node's share of the limit of a cold back end, as coldstart.Share
+	// Share returns this node's share of the limit of a cold backend, as coldstart.Share
 	// does, or coldstart.Unbounded.
 	Share func(backend *fleet.Backend, now time.Time) int
 	// Observe is called with the label of the reason for each call that Admit refuses. It
 	// may be nil.
 	Observe func(label string)
-	// ObserveColdCall is called for each call that Admit admits to a cold back end. It may
+	// ObserveColdCall is called for each call that Admit admits to a cold backend. It may
 	// be nil.
 	ObserveColdCall func(service string)
 }
 
-// Gate checks calls to back ends immediately before they are sent. It is safe for concurrent
+// Gate checks calls to backends immediately before they are sent. It is safe for concurrent
 // use.
 type Gate struct {
 	config      Config
@@ -52,8 +52,8 @@
 	}
 }
 
-// coldRetryDelay returns the time until this node may send another request to a cold back
-// end, 0 if its share is 0.
+// coldRetryDelay returns the time until this node may send another request to a cold
+// backend, 0 if its share is 0.
 func (g *Gate) coldRetryDelay(b *fleet.Backend, now time.Time) time.Duration {
 	next := g.coldLimiter.NextAllowed(b.ID, g.config.Share(b, now), now)
 	if next.IsZero() {
@@ -62,8 +62,8 @@
 	return next.Sub(now)
 }
 
-// Admit returns nil if a call may be sent to a back end now, otherwise an *Error. A call to
-// a cold back end is counted against the node's share. Call it immediately before sending.
+// Admit returns nil if a call may be sent to a backend now, otherwise an *Error. A call to
+// a cold backend is counted against the node's share. Call it immediately before sending.
 func (g *Gate) Admit(backend string, r Request) error {
 	now := time.Now()
 	reason := g.decide(backend, r, now)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// admitCold counts a call to a cold back end, or returns Cold if the node's share is used
+// admitCold counts a call to a cold backend, or returns Cold if the node's share is used
 // up: a concurrent call may have taken the rest of it since Snapshot.Decide.
 func (g *Gate) admitCold(b *fleet.Backend, left time.Duration, now time.Time) Reason {
 	if !g.coldLimiter.Allow(b.ID, g.config.Share(b, now), now) {
--- a/internal/gatewaynode/storenode/eligible.go
+++ b/internal/gatewaynode/storenode/eligible.go
@@ -59,7 +59,7 @@
 	n.shares = newColdShares(n)
 	n.gate = eligibility.NewGate(eligibility.Config{
 		Fleet: n.fleet, QuarantineFailures: n.quarantine.Held, Evacuations: n.evacuations, Zones: n.config.Eligibility.Zones,
-		EvacuationsAge:     func(now time.Time) time.Duration { return n.operator.Status().ProvenAge(now) },
+		EvacuationsAge:    func(now time.Time) time.Duration { return n.operator.Status().ProvenAge(now) },
 		MaxEvacuationsAge: n.config.Eligibility.ageMost(), Share: n.shares.of, Observe: n.config.Eligibility.ObserveWithheld, ObserveColdCall: n.config.Eligibility.ObserveColdTurn,
 	})
 }
